--- a/src/core/admission.h
+++ b/src/admission/admission.h
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "model/types.h"
 
 namespace rookdyke {
 
 // Why the job can never run; empty: it may. A type without zones may be in any of `zones`.
-std::optional<std::string> never_runs(const JobSpec& job, const std::vector<TypeInfo>& types,
-                                      const std::vector<TeamInfo>& teams,
+std::optional<std::string> never_runs(const JobSpec& job, const std::vector<MachineType>& types,
+                                      const std::vector<TeamQuota>& teams,
                                       const std::vector<std::string>& zones);
 
 }  // namespace rookdyke
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -6,14 +6,14 @@
 #include <chrono>
 #include <utility>
 
-#include "core/admission.h"
+#include "admission/admission.h"
 #include "net/server.h"
 #include "net/steady_clock.h"
 
 namespace rookdyke {
 
+using ledger::JobStatus;
 using ledger::Outcome;
-using ledger::Standing;
 using nlohmann::json;
 
 namespace {
@@ -87,16 +87,16 @@
 bool UserApi::answer_known(const std::string& id, double deadline, httplib::Response& response) {
   std::optional<JobAnswer> answer;
   bool unreadable = false;
-  ledger_.read([&](const Mirror& mirror) {
-    answer = mirror.answer(id);
-    unreadable = mirror.unreadable(id);
+  ledger_.read([&](const LedgerCache& ledger_cache) {
+    answer = ledger_cache.answer(id);
+    unreadable = ledger_cache.unreadable(id);
   });
   if (unreadable) {
     refuse(response, kUnreadable);
     return true;
   }
   if (!answer) return false;
-  if (answer->standing == Standing::open && steady_now() > deadline + kTooLate)
+  if (answer->status == JobStatus::open && steady_now() > deadline + kTooLate)
     refuse(response, "too late");  // we stood still: others may have told its user more since
   else
     answer_job(id, *answer, false, deadline, response);
@@ -105,15 +105,15 @@
 
 // The same, without a barrier for jobs that our copy does not have: most are new.
 bool UserApi::answer_if_seen(const std::string& id, double deadline, httplib::Response& response) {
-  bool seen = false, over = false;
-  ledger_.read([&](const Mirror& mirror) {
-    if (const MirrorJob* job = mirror.job(id)) {
+  bool seen = false, finished = false;
+  ledger_.read([&](const LedgerCache& ledger_cache) {
+    if (const CachedJob* job = ledger_cache.job(id)) {
       seen = true;
-      over = job->row.standing != Standing::open;
+      finished = job->row.status != JobStatus::open;
     }
   });
   if (!seen) return false;
-  if (!over && !ledger_.wait_for_barrier(deadline - steady_now())) {
+  if (!finished && !ledger_.wait_for_barrier(deadline - steady_now())) {
     refuse(response, kLedgerSilent);
     return true;
   }
@@ -141,7 +141,7 @@
     reply(response, 400, {{"error", "missing or invalid: " + error}});
     return std::nullopt;
   }
-  const std::vector<TypeInfo> types = ledger_.machine_types();
+  const std::vector<MachineType> types = ledger_.machine_types();
   if (types.empty()) {
     refuse(response, "machine types are not known yet");
     return std::nullopt;
@@ -158,13 +158,13 @@
 void UserApi::accept(const std::string& id, const JobSpec& spec, double deadline,
                      httplib::Response& response) {
   ledger::Transaction t;
-  t.mark = ledger_.transaction_mark();
+  t.transaction_id = ledger_.new_transaction_id();
   ledger::JobRow row;
   row.tasks = spec.tasks;
-  row.per = ledger::tasks_per_chunk(settings_.lasting_value_bytes());
-  row.at_s = day_time();
+  row.chunk_size = ledger::tasks_per_chunk(settings_.lasting_value_bytes());
+  row.timestamp_s = day_time();
   row.spec = spec;
-  row.mark = t.mark;
+  row.transaction_id = t.transaction_id;
   const json value = ledger::encode(row);
   const size_t size = ledger::value_size(value) + kRowOverhead;
   if (size > settings_.value_bytes) {
@@ -198,18 +198,18 @@
   if (!wire::valid_job_id(id)) return reply(response, 404, {{"error", "no such job"}});
   std::optional<JobAnswer> answer;
   bool unreadable = false;
-  ledger_.read([&](const Mirror& mirror) {
-    const MirrorJob* job = mirror.job(id);
-    if (job && job->row.standing != Standing::open) answer = mirror.answer(id);
+  ledger_.read([&](const LedgerCache& ledger_cache) {
+    const CachedJob* job = ledger_cache.job(id);
+    if (job && job->row.status != JobStatus::open) answer = ledger_cache.answer(id);
   });
   if (answer)  // final: no newer answer can exist
     return answer_job(id, *answer, true, asked + kPollPatience, response);
   // Invariant 5: anything else could be older than what another node has said.
   if (!ledger_.wait_for_barrier(kPollPatience)) return refuse(response, kLedgerSilent);
   bool late = false;
-  ledger_.read([&](const Mirror& mirror) {
-    answer = mirror.answer(id);
-    unreadable = mirror.unreadable(id);
+  ledger_.read([&](const LedgerCache& ledger_cache) {
+    answer = ledger_cache.answer(id);
+    unreadable = ledger_cache.unreadable(id);
     // Invariant 5 again: we may have stood still between the barrier and here.
     late = steady_now() - asked > kPollTooLate;
   });
@@ -222,7 +222,7 @@
 // Every answer about a known job goes out here.
 void UserApi::answer_job(const std::string& id, const JobAnswer& answer, bool with_counts,
                          double deadline, httplib::Response& response) {
-  if (answer.standing == Standing::aborted && !ledger_.may_say_aborted(id, deadline, 0))
+  if (answer.status == JobStatus::cancelled && !ledger_.may_confirm_cancelled(id, deadline, 0))
     return refuse(response, kLeaderUnaware, Elsewhere::always);
   reply(response, 200, wire::job_answer(id, answer, with_counts));
 }
@@ -231,7 +231,7 @@
 
 // A cancellation that is ready to be written, or the answer of a job that is over.
 struct UserApi::Cancellation {
-  std::optional<JobAnswer> over;
+  std::optional<JobAnswer> finished;
   ledger::Transaction transaction;
   ledger::JobRow row;
   uint64_t leader = 0;  // whose key the write is conditional on; 0: nobody leads
@@ -247,20 +247,20 @@
   }
   bool known = false, unreadable = false;
   Cancellation c;
-  ledger_.read([&](const Mirror& mirror) {
-    unreadable = mirror.unreadable(id);
-    const MirrorJob* job = mirror.job(id);
+  ledger_.read([&](const LedgerCache& ledger_cache) {
+    unreadable = ledger_cache.unreadable(id);
+    const CachedJob* job = ledger_cache.job(id);
     if (!job) return;
     known = true;
-    if (job->row.standing != Standing::open) c.over = mirror.answer(id);
+    if (job->row.status != JobStatus::open) c.finished = ledger_cache.answer(id);
     c.row.tasks = job->row.tasks;
-    c.row.per = job->row.per;
+    c.row.chunk_size = job->row.chunk_size;
     c.row.spec = job->row.spec;
     c.transaction.conditions = {{ledger::job_key(id), job->version}};
     // Held at the time of the write, so that we know who has to hear of it. While nobody leads
     // the next leader finds the row; its user has to ask again.
-    if (!mirror.leader().empty()) {
-      c.leader = mirror.leader_version();
+    if (!ledger_cache.leader().empty()) {
+      c.leader = ledger_cache.leader_version();
       c.transaction.conditions.push_back({ledger::kLeaderKey, c.leader});
     }
   });
@@ -272,7 +272,7 @@
     reply(response, 404, {{"error", "no such job"}});
     return std::nullopt;
   }
-  c.transaction.mark = ledger_.transaction_mark();
+  c.transaction.transaction_id = ledger_.new_transaction_id();
   return c;
 }
 
@@ -282,10 +282,10 @@
   while (true) {
     auto c = prepare_cancellation(id, deadline, response);
     if (!c) return;
-    if (c->over) return answer_job(id, *c->over, false, deadline, response);
-    c->row.standing = Standing::aborted;
-    c->row.at_s = day_time();
-    c->row.mark = c->transaction.mark;
+    if (c->finished) return answer_job(id, *c->finished, false, deadline, response);
+    c->row.status = JobStatus::cancelled;
+    c->row.timestamp_s = day_time();
+    c->row.transaction_id = c->transaction.transaction_id;
     ledger::shorten_cancelled(c->row, settings_.lasting_value_bytes());
     const json value = ledger::encode(c->row);
     c->transaction.changes = {{ledger::job_key(id), false, value, 0}};
@@ -294,7 +294,7 @@
       return refuse(response, kLedgerSilent);
     if (result->outcome == Outcome::conflict) continue;  // it moved: look again
     ledger_.apply_committed({ledger::job_key(id), value, result->revision, false});
-    if (!ledger_.may_say_aborted(id, deadline, c->leader))
+    if (!ledger_.may_confirm_cancelled(id, deadline, c->leader))
       return refuse(response, kLeaderUnaware, Elsewhere::always);
     return reply(response, 200, {{"id", id}, {"standing", "aborted"}});
   }
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "core/ledger.h"
-#include "core/mirror.h"
-#include "core/settings.h"
-#include "core/types.h"
+#include "ledger/ledger_cache.h"
+#include "ledger/rows.h"
+#include "model/settings.h"
+#include "model/types.h"
 #include "wire/wire.h"
 
 namespace rookdyke {
@@ -28,12 +28,12 @@
   virtual bool wait_for_barrier(double timeout_s) = 0;
   // Calls `look` with the replica's copy of the ledger, under the mutex that guards it: `look` sees
   // one moment, and must not block.
-  virtual void read(const std::function<void(const Mirror&)>& look) const = 0;
+  virtual void read(const std::function<void(const LedgerCache&)>& look) const = 0;
   // What machines can be rented; empty as long as that, or the ledger, has not been read.
-  virtual std::vector<TypeInfo> machine_types() const = 0;
+  virtual std::vector<MachineType> machine_types() const = 0;
 
   // A mark that no other transaction ever had.
-  virtual std::string transaction_mark() = 0;
+  virtual std::string new_transaction_id() = 0;
   // Brings a transaction to an outcome: an unanswered one is repeated word for word. Empty: it may
   // yet be executed, or not; the user has to ask again. It is waited for only while it may succeed:
   // a state service that refuses, or a queue that is too long, ends it at once. `deadline` is of
@@ -45,7 +45,7 @@
 
   // Whether a user may hear "aborted" of a job whose cancellation is durable; waits for that until
   // the deadline. `leader`: whose key the write was conditional on, 0: unknown.
-  virtual bool may_say_aborted(const std::string& job, double deadline, uint64_t leader) = 0;
+  virtual bool may_confirm_cancelled(const std::string& job, double deadline, uint64_t leader) = 0;
   // Siblings say that the state service answers them: trouble with it is this replica's alone.
   virtual bool siblings_are_served() const = 0;
 };
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -8,7 +8,8 @@
 
 using nlohmann::json;
 
-Client::Client(const Endpoint& at, net::Budget& budget) : http_(at.host, at.port), budget_(budget) {
+Client::Client(const Endpoint& at, net::RateLimiter& limiter)
+    : http_(at.host, at.port), limiter_(limiter) {
   http_.set_keep_alive(true);
   http_.set_tcp_nodelay(true);
   http_.set_url_encode(false);
@@ -20,7 +21,7 @@
 Client::Answer Client::call(bool post, const std::string& path, const json* body,
                             const MaySend& may_send) {
   Answer a;
-  if (!budget_.take(1, 3.0) || (may_send && !may_send())) return a;
+  if (!limiter_.take(1, 3.0) || (may_send && !may_send())) return a;
   static const std::string type = "application/msgpack";
   httplib::Result r =
       post ? http_.Post(path, body ? wire::pack(*body) : std::string(), type) : http_.Get(path);
@@ -34,12 +35,12 @@
   a.sent = true;
   if (!r->body.empty())
     if (auto j = wire::unpack(r->body)) a.body = std::move(*j);
-  if (a.status == 429) budget_.penalty(0.5);
+  if (a.status == 429) limiter_.penalty(0.5);
   if (a.status != 200) spdlog::debug("cloud: {}: {}", path, a.status);
   return a;
 }
 
-std::optional<std::vector<TypeInfo>> Client::types() {
+std::optional<std::vector<MachineType>> Client::types() {
   const Answer a = call(false, "/machine_types", nullptr);
   if (a.status != 200) return std::nullopt;
   return wire::parse_types(a.body);
@@ -67,8 +68,9 @@
   return out;
 }
 
-CloudOutcome Client::give_back(const std::vector<std::string>& names, const MaySend& may_send) {
-  const json body = wire::give_back(names);
+CloudOutcome Client::return_machines(const std::vector<std::string>& names,
+                                     const MaySend& may_send) {
+  const json body = wire::return_machines(names);
   const Answer a = call(true, "/machines/return", &body, may_send);
   if (a.status == 200) return CloudOutcome::done;
   return a.status != 0 || !a.sent ? CloudOutcome::refused : CloudOutcome::unknown;
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -10,16 +10,16 @@
 #include <vector>
 
 #include "config/config.h"
-#include "core/core.h"
-#include "net/budget.h"
+#include "net/rate_limiter.h"
+#include "scheduler/scheduler.h"
 
 namespace rookdyke::cloud {
 
 class Client {
  public:
-  Client(const Endpoint& at, net::Budget& budget);
+  Client(const Endpoint& at, net::RateLimiter& limiter);
 
-  std::optional<std::vector<TypeInfo>> types();
+  std::optional<std::vector<MachineType>> types();
   struct RentalResult {
     CloudOutcome outcome = CloudOutcome::unknown;
     std::vector<std::string> machines;
@@ -28,7 +28,7 @@
   // return that was decided by a leader which is none any more is not sent.
   using MaySend = std::function<bool()>;
   RentalResult rent(const RentalRequest& h, const MaySend& may_send);
-  CloudOutcome give_back(const std::vector<std::string>& names, const MaySend& may_send);
+  CloudOutcome return_machines(const std::vector<std::string>& names, const MaySend& may_send);
   // All pages; empty on any failure.
   std::optional<std::vector<ListedMachine>> list();
 
@@ -42,7 +42,7 @@
               const MaySend& may_send = nullptr);
 
   httplib::Client http_;
-  net::Budget& budget_;
+  net::RateLimiter& limiter_;
 };
 
 }  // namespace rookdyke::cloud
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -73,7 +73,7 @@
   const json j = json::parse(body, nullptr, false);
   if (j.is_discarded() || !j.is_object()) bad("not a JSON object");
   Config c;
-  c.core.label = text(j, "label", "");
+  c.scheduler.label = text(j, "label", "");
   c.bind = endpoint(text(j, "bind", ""), "bind");
   c.mesh = endpoint(text(j, "mesh_addr", ""), "mesh_addr");
   const json& siblings = need(j, "siblings", "");
@@ -90,15 +90,15 @@
   if (!zones.is_array()) bad("params.zones must be a list");
   for (const json& z : zones) {
     if (!z.is_string()) bad("params.zones must hold texts");
-    c.core.zones.push_back(z.get<std::string>());
+    c.scheduler.zones.push_back(z.get<std::string>());
   }
   const json& teams = need(p, "teams", "params.");
   if (!teams.is_array()) bad("params.teams must be a list");
   for (const json& t : teams) {
     const std::string w = "params.teams.";
-    c.core.teams.push_back({text(t, "name", w), number(t, "cpus", w, 0, 1e9),
-                            number(t, "cpus_max", w, 0, 1e9), number(t, "gpus", w, 0, 1e9),
-                            number(t, "gpus_max", w, 0, 1e9)});
+    c.scheduler.teams.push_back({text(t, "name", w), number(t, "cpus", w, 0, 1e9),
+                                 number(t, "cpus_max", w, 0, 1e9), number(t, "gpus", w, 0, 1e9),
+                                 number(t, "gpus_max", w, 0, 1e9)});
   }
   // Other kinds of objectives may come; they order nothing.
   if (p.contains("objectives")) {
@@ -107,27 +107,27 @@
     for (const json& o : list) {
       const std::string ow = "params.objectives.", kind = text(o, "kind", ow);
       if (kind != "wait" && kind != "finished") continue;
-      c.core.objectives.push_back(
+      c.scheduler.objectives.push_back(
           {kind == "wait", text(o, "class", ow), number(o, "within_s", ow, 0, 1e9)});
     }
   }
   const json& w = need(p, "workers", "params.");
   const std::string ww = "params.workers.";
-  c.core.report_s = number(w, "report_s", ww, 0.1, 3600);
-  c.core.lease_s = number(w, "lease_s", ww, 0.5, 86400);
-  c.core.gang_wait_s = number(w, "gang_wait_s", ww, 0, 86400);
-  c.core.gang_peer_s = number(w, "gang_peer_s", ww, 0, 86400);
-  c.core.cancel_s = number(w, "cancel_s", ww, 0, 86400);
+  c.scheduler.heartbeat_interval_s = number(w, "report_s", ww, 0.1, 3600);
+  c.scheduler.lease_s = number(w, "lease_s", ww, 0.5, 86400);
+  c.scheduler.gang_wait_s = number(w, "gang_wait_s", ww, 0, 86400);
+  c.scheduler.gang_peer_s = number(w, "gang_peer_s", ww, 0, 86400);
+  c.scheduler.cancel_s = number(w, "cancel_s", ww, 0, 86400);
   const json& s = need(p, "state", "params.");
   const std::string sw = "params.state.";
   c.state_rps = number(s, "rps", sw, 1, 1e9);
   c.write_rps = number(s, "write_rps", sw, 0.5, 1e9);
-  c.core.value_bytes = value_bytes(s, sw);
-  c.core.txn_ops = static_cast<size_t>(number(s, "txn_ops", sw, 1, 1e6));
-  c.core.next_limits = next_limits(s);
+  c.scheduler.value_bytes = value_bytes(s, sw);
+  c.scheduler.txn_ops = static_cast<size_t>(number(s, "txn_ops", sw, 1, 1e6));
+  c.scheduler.next_limits = next_limits(s);
   const json& cl = need(p, "cloud", "params.");
   c.cloud_rps = number(cl, "rps", "params.cloud.", 0.1, 1e9);
-  c.core.list_lag_s = number(cl, "list_lag_s", "params.cloud.", 0, 3600);
+  c.scheduler.list_lag_s = number(cl, "list_lag_s", "params.cloud.", 0, 3600);
   const json& r = need(p, "resources", "params.");
   c.cores = number(r, "cores", "params.resources.", 0.001, 1e6);
   c.memory_mb = number(r, "memory_mb", "params.resources.", 1, 1e9);
@@ -189,7 +189,7 @@
 }  // namespace
 
 void apply_ini(Config& c, const std::string& path) {
-  Tuning& t = c.core.tuning;
+  Tuning& t = c.scheduler.tuning;
   IniReader reader;
   reader.known = {{"forecast",
                    {{"sample_s", {&t.sample_s, nullptr, 0.5, 600}},
@@ -200,21 +200,21 @@
                     {"boot_window_s", {&t.boot_window_s, nullptr, 0, 3600}},
                     {"start_spare", {&t.start_spare, nullptr, 0, 1000}}}},
                   {"fleet",
-                   {{"lull_s", {&t.lull_s, nullptr, 0, 86400}},
+                   {{"lull_s", {&t.scale_in_delay_s, nullptr, 0, 86400}},
                     {"drain_deadline_s", {&t.drain_deadline_s, nullptr, 1, 86400}},
-                    {"hire_every_s", {&t.rent_every_s, nullptr, 0.2, 600}},
-                    {"refusal_s", {&t.refusal_s, nullptr, 1, 3600}},
-                    {"boot_patience", {&t.boot_patience, nullptr, 1, 100}},
+                    {"hire_every_s", {&t.rental_interval_s, nullptr, 0.2, 600}},
+                    {"refusal_s", {&t.capacity_retry_s, nullptr, 1, 3600}},
+                    {"boot_patience", {&t.boot_timeout_factor, nullptr, 1, 100}},
 
-                    {"silence_s", {&t.silence_s, nullptr, 0, 3600}}}},
+                    {"silence_s", {&t.heartbeat_timeout_s, nullptr, 0, 3600}}}},
                   {"rounds",
-                   {{"small_first", {&t.small_first, nullptr, 0, 100}},
+                   {{"small_first", {&t.short_job_preference_s, nullptr, 0, 100}},
                     {"round_s", {&t.round_s, nullptr, 0.02, 60}},
                     {"round_max_s", {&t.round_max_s, nullptr, 0.02, 60}}}},
                   {"node",
                    {{"lease_ttl_s", {&c.lease_ttl_s, nullptr, 0.5, 60}},
-                    {"watch_s", {&c.watch_s, nullptr, 0.02, 10}},
-                    {"follow_s", {&c.follow_s, nullptr, 0.02, 10}}}}};
+                    {"watch_s", {&c.leader_watch_s, nullptr, 0.02, 10}},
+                    {"follow_s", {&c.follower_watch_s, nullptr, 0.02, 10}}}}};
   const int rc = ini_parse(
       path.c_str(),
       [](void* user, const char* section, const char* name, const char* value) -> int {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/settings.h"
+#include "model/settings.h"
 
 namespace rookdyke {
 
@@ -21,7 +21,7 @@
 };
 
 struct Config {
-  Settings core;
+  Settings scheduler;
   Endpoint bind, mesh, cloud, state;
   std::vector<Sibling> siblings;
   double state_rps = 50, write_rps = 20, cloud_rps = 2;
@@ -30,9 +30,9 @@
   double memory_mb = 0;
   int nodes = 1;
   // [node] of the INI file
-  double lease_ttl_s = 2.5;  // the leader key's lease
-  double watch_s = 0.2;      // the leader's interval between looks at the ledger
-  double follow_s = 0.5;     // a follower's
+  double lease_ttl_s = 2.5;       // the leader key's lease
+  double leader_watch_s = 0.2;    // the leader's interval between looks at the ledger
+  double follower_watch_s = 0.5;  // a follower's
 };
 
 // One clear line for the operator; the program ends with exit code 2.
--- a/src/daemon/cancellation_gate.h
+++ b/src/daemon/cancellation_gate.h
@@ -11,15 +11,15 @@
 #include <string>
 #include <vector>
 
-#include "core/cancellations.h"
+#include "leadership/cancellations.h"
 
 namespace rookdyke {
 
 // Sends nothing itself: one thread, the notifier, asks for what is pending and reports outcomes.
 //
-// Has no mutex of its own, because what it answers depends on the mirror and the role too: every
-// function is called with the owner's mutex held, always the same one, and those that wait release
-// it meanwhile.
+// Has no mutex of its own, because what it answers depends on the ledger cache and the role too:
+// every function is called with the owner's mutex held, always the same one, and those that wait
+// release it meanwhile.
 class CancellationGate {
  public:
   using Lock = std::unique_lock<std::mutex>;
@@ -27,7 +27,7 @@
   // A cancelled job that its leader has to be told of.
   struct Pending {
     std::string job;
-    uint64_t leader = 0;  // held the leader key when the row was written; 0: see the mirror
+    uint64_t leader = 0;  // held the leader key when the row was written; 0: see the ledger cache
   };
 
   // -- what the leader is known to know
--- a/src/daemon/node.h
+++ b/src/daemon/controller.h
@@ -3,8 +3,8 @@
 //
 //   watcher   follows the ledger and gives read barriers
 //   leader    the leader key: campaigns, renews, steps down
-//   engine    rounds of the core while leading
-//   committer transactions of the core
+//   engine    rounds of the scheduler while leading
+//   committer transactions of the scheduler
 //   direct    commands that do not wait for a worker's next report
 //   cloud     rentals, returns, lists, machine types
 //   mesh      exchanges views with siblings
@@ -12,7 +12,7 @@
 //   stall     notices that the process stood still
 //   api       a thread per connection of users, workers, health checks
 //
-// One mutex guards the core, the mirror and the role; nothing blocks while holding it.
+// One mutex guards the scheduler, the ledger cache and the role; nothing blocks while holding it.
 
 #include <atomic>
 #include <condition_variable>
@@ -28,15 +28,15 @@
 #include "api/user_api.h"
 #include "cloud/client.h"
 #include "config/config.h"
-#include "core/cancellations.h"
-#include "core/core.h"
-#include "core/lease_clock.h"
-#include "core/mirror.h"
 #include "daemon/cancellation_gate.h"
 #include "daemon/read_barrier.h"
+#include "leadership/cancellations.h"
+#include "leadership/lease_clock.h"
+#include "ledger/ledger_cache.h"
 #include "mesh/mesh.h"
 #include "net/server.h"
 #include "net/write_share.h"
+#include "scheduler/scheduler.h"
 #include "state/client.h"
 #include "state/connection_pool.h"
 
@@ -46,13 +46,13 @@
 //   leading   holds the leader key as far as it can know
 //   doubtful  could not renew for a lease's time: answers reports with its token, decides nothing
 //   resting   gave the key up because no worker reached it: leaves the next election to the others
-enum class Role : uint8_t { follower, campaigning, leading, doubtful, resting };
+enum class Role : uint8_t { follower, campaigning, leading, unconfirmed, cooldown };
 std::string_view to_string(Role r);
 
-class Node : private JobLedger {
+class Controller : private JobLedger {
  public:
-  explicit Node(Config config);
-  ~Node() override;
+  explicit Controller(Config config);
+  ~Controller() override;
   bool start();
   void stop();
   int port() const { return api_->port(); }
@@ -61,12 +61,12 @@
  private:
   // -- node_http.cpp: JobLedger, for the users' requests
   bool wait_for_barrier(double timeout_s) override;
-  void read(const std::function<void(const Mirror&)>& look) const override;
-  std::vector<TypeInfo> machine_types() const override;
-  std::string transaction_mark() override;
+  void read(const std::function<void(const LedgerCache&)>& look) const override;
+  std::vector<MachineType> machine_types() const override;
+  std::string new_transaction_id() override;
   std::optional<ledger::Result> commit(const ledger::Transaction& t, double deadline) override;
   void apply_committed(const wire::Row& row) override;
-  bool may_say_aborted(const std::string& id, double deadline, uint64_t leader) override;
+  bool may_confirm_cancelled(const std::string& id, double deadline, uint64_t leader) override;
   bool siblings_are_served() const override;
   // -- node_http.cpp: other requests
   void serve(const httplib::Request& req, httplib::Response& res);
@@ -75,7 +75,7 @@
   void serve_mesh(const httplib::Request& req, httplib::Response& res);
 
   // -- node.cpp
-  uint64_t take_cancelled(const mesh::Cancelled& c);
+  uint64_t on_cancellations(const mesh::Cancelled& c);
   struct Watcher;
   void watch_loop();
   void wait_for_next_read(const Watcher& watcher);
@@ -85,7 +85,7 @@
   void apply(const wire::Row& row);  // under mutex_
   struct Leadership;
   struct LeadershipView;
-  void lead_loop();
+  void election_loop();
   LeadershipView view_leadership();
   void renew_lease(Leadership& leadership, uint64_t lease);
   void on_renewal(state::Client::Renewal outcome, double sent);  // under mutex_
@@ -94,64 +94,65 @@
   bool campaign(state::Client& client);
   void step_down(Role to, const std::string& why);  // under mutex_
   void set_role(Role to, const std::string& why);   // under mutex_; the only place that changes it
-  void engine_loop();
+  void scheduling_loop();
   void commit_loop();
   void cloud_loop();
   void direct_loop();
   void mesh_loop();
-  void tell_loop();
+  void cancellation_loop();
   bool must_publish() const;  // under mutex_
   void publish_read_to(std::unique_lock<std::mutex>& lock, state::Client& client);
   void on_peer_view(const mesh::View& v);
   void check_limits(size_t machines);  // engine's alone, without mutex_
   void share_writes();                 // under mutex_: by demand, as far as it is known
   void lower_sizes();                  // under mutex_: the state service takes less at once
-  bool alone(double now) const;        // no sibling answers, nor does the state service
-  std::string new_mark();              // under mutex_
+  bool is_isolated(double now) const;  // no sibling answers, nor does the state service
+  std::string next_transaction_id();   // under mutex_
   mesh::View view();
-  bool leads() const { return role_ == Role::leading || role_ == Role::doubtful; }
+  bool leads() const { return role_ == Role::leading || role_ == Role::unconfirmed; }
   uint64_t known_token() const;          // under mutex_: the highest known of
   bool knows_cancellations(double now);  // under mutex_: may keep workers' leases alive
   // -- standing still: a process may stop in any line while its clocks run on. Nothing that was
   // read, decided or queued before counts until the lease has been asked for again.
   void stall_check_loop();
-  void notice_stall(double now);     // under mutex_: finds out that this process stood still
-  bool lease_confirmed(double now);  // under mutex_: the lease was looked at since
-  bool acts(double now);             // under mutex_: leads without doubt, and may decide
-  bool doubts(double now);           // under mutex_: may still have cancelled work stopped
-  bool lease_still_confirmed(uint64_t token);  // takes mutex_: right before something is sent
+  void notice_stall(double now);           // under mutex_: finds out that this process stood still
+  bool lease_confirmed(double now);        // under mutex_: the lease was looked at since
+  bool may_decide(double now);             // under mutex_: leads without doubt, and may decide
+  bool is_unconfirmed_leader(double now);  // under mutex_: may still have cancelled work stopped
+  bool lease_still_confirmed(
+      uint64_t fencing_token);  // takes mutex_: right before something is sent
   void wait_for(std::unique_lock<std::mutex>& lock, std::condition_variable& cv, double s);
 
   Config config_;
   mutable std::mutex mutex_;
-  std::condition_variable commit_cv_, cloud_cv_, direct_cv_, engine_cv_, lead_cv_, mesh_cv_;
+  std::condition_variable commit_cv_, cloud_cv_, direct_cv_, scheduling_cv_, election_cv_, mesh_cv_;
   std::atomic<bool> stop_{false};
 
-  Mirror mirror_;
+  LedgerCache ledger_cache_;
   Role role_ = Role::follower;
-  std::unique_ptr<Core> core_;
-  uint64_t token_ = 0, lease_ = 0;
-  double rest_until_ = 0;
+  std::unique_ptr<Scheduler> scheduler_;
+  uint64_t fencing_token_ = 0, lease_ = 0;
+  double cooldown_until_ = 0;
   bool warned_sockets_ = false, warned_memory_ = false;  // engine's own
   LeaseClock lease_clock_;                               // of our lease, and of standing still
-  std::vector<TypeInfo> types_;  // as the cloud tells, until the ledger has them
-  uint64_t highest_token_ = 0;   // heard of from anybody
+  std::vector<MachineType> types_;  // as the cloud tells, until the ledger has them
+  uint64_t highest_token_ = 0;      // heard of from anybody
   std::string highest_leader_;
 
-  // -- cancellations (core/cancellations.h)
+  // -- cancellations (leadership/cancellations.h)
   CancellationGate cancellation_gate_;  // under mutex_
   CancellationStaleness cancellation_staleness_;
   double published_at_ = -1e9;
 
   ReadBarrier read_barrier_;  // locks for itself; never waited at while mutex_ is held
-  uint64_t revision_ = 0;     // the mirror holds all up to here (watcher's own)
+  uint64_t revision_ = 0;     // the ledger cache holds all up to here (watcher's own)
   std::atomic<bool> loaded_{false};
   std::atomic<double> state_ok_at_{-1e9};
   std::atomic<double> siblings_at_{-1e9};     // a sibling was last heard
   std::atomic<double> siblings_ok_at_{-1e9};  // a sibling last said that the state answers it
 
-  state::Budgets state_budgets_;
-  net::Budget cloud_budget_;
+  state::RateLimiters state_limiters_;
+  net::RateLimiter cloud_limiter_;
   state::ConnectionPool state_connections_;  // for the users' requests
 
   UserApi user_api_;
@@ -160,11 +161,11 @@
   std::mt19937 random_;
   // Names this process among all that ever had its label: marks of a predecessor are never ours.
   std::string incarnation_;
-  uint64_t marks_ = 0;
-  nlohmann::json image_hints_;      // the latest that a leader told
-  uint64_t image_hints_token_ = 0;  // which one
-  net::WriteShare write_share_;     // under mutex_
-  bool sizes_lowered_ = false;      // under mutex_
+  uint64_t transaction_count_ = 0;
+  nlohmann::json image_locations_;      // the latest that a leader told
+  uint64_t image_locations_token_ = 0;  // which one
+  net::WriteShare write_share_;         // under mutex_
+  bool sizes_lowered_ = false;          // under mutex_
 };
 
 }  // namespace rookdyke
--- a/src/daemon/node_http.cpp
+++ b/src/daemon/controller_http.cpp
@@ -5,14 +5,14 @@
 
 #include <algorithm>
 
-#include "daemon/node.h"
+#include "daemon/controller.h"
 #include "net/steady_clock.h"
 #include "wire/wire.h"
 
 namespace rookdyke {
 
+using ledger::JobStatus;
 using ledger::Outcome;
-using ledger::Standing;
 using nlohmann::json;
 
 namespace {
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-void Node::serve(const httplib::Request& req, httplib::Response& res) {
+void Controller::serve(const httplib::Request& req, httplib::Response& res) {
   const std::string path = req.target.substr(0, req.target.find('?'));
   struct Watch {  // what took long, or was not taken
     const httplib::Request& req;
@@ -56,39 +56,41 @@
 
 // ---------------------------------------------------------------- for the users' requests
 
-bool Node::wait_for_barrier(double timeout_s) { return read_barrier_.wait(timeout_s); }
+bool Controller::wait_for_barrier(double timeout_s) { return read_barrier_.wait(timeout_s); }
 
-void Node::read(const std::function<void(const Mirror&)>& look) const {
+void Controller::read(const std::function<void(const LedgerCache&)>& look) const {
   std::lock_guard lock(mutex_);
-  look(mirror_);
+  look(ledger_cache_);
 }
 
-std::vector<TypeInfo> Node::machine_types() const {
-  std::vector<TypeInfo> types;
+std::vector<MachineType> Controller::machine_types() const {
+  std::vector<MachineType> types;
   {
     std::lock_guard lock(mutex_);
-    types = !mirror_.types().empty() ? mirror_.types() : types_;
+    types = !ledger_cache_.types().empty() ? ledger_cache_.types() : types_;
   }
   if (!loaded_) types.clear();
   return types;
 }
 
-std::string Node::transaction_mark() {
+std::string Controller::new_transaction_id() {
   std::lock_guard lock(mutex_);
-  return new_mark();
+  return next_transaction_id();
 }
 
-void Node::apply_committed(const wire::Row& row) {
+void Controller::apply_committed(const wire::Row& row) {
   std::lock_guard lock(mutex_);
   apply(row);
 }
 
-bool Node::siblings_are_served() const { return steady_now() - siblings_ok_at_ < kHealthPatience; }
+bool Controller::siblings_are_served() const {
+  return steady_now() - siblings_ok_at_ < kHealthPatience;
+}
 
 // Brings a transaction to an outcome: an unanswered one is repeated word for word. Empty: it may
 // yet be executed, or not; the user has to ask again. It is waited for only while it may succeed: a
 // state service that refuses, or a queue that is too long, ends it at once.
-std::optional<ledger::Result> Node::commit(const ledger::Transaction& t, double deadline) {
+std::optional<ledger::Result> Controller::commit(const ledger::Transaction& t, double deadline) {
   if (read_barrier_.failing()) return std::nullopt;
   state::ConnectionPool::Connection state(state_connections_, kQueuePatience);
   if (!state) return std::nullopt;
@@ -111,35 +113,35 @@
 
 // The one place that decides whether a user may hear "aborted" of a job whose cancellation is
 // durable: whoever may answer workers now has to know of it, or it would keep their leases and
-// those tasks alive (core/cancellations.h). `leader`: whose key the write was conditional on, 0:
-// unknown.
-bool Node::may_say_aborted(const std::string& id, double deadline, uint64_t leader) {
+// those tasks alive (leadership/cancellations.h). `leader`: whose key the write was conditional on,
+// 0: unknown.
+bool Controller::may_confirm_cancelled(const std::string& id, double deadline, uint64_t leader) {
   std::unique_lock lock(mutex_);
-  const MirrorJob* j = mirror_.job(id);
-  if (!j || j->row.standing != Standing::aborted) return false;
+  const CachedJob* j = ledger_cache_.job(id);
+  if (!j || j->row.status != JobStatus::cancelled) return false;
   const uint64_t version = j->version;
   if (cancellation_gate_.is_known(id, version)) return true;
-  // Our own core took the row with the mirror. A leader that slept may be none any more.
+  // Our own core took the row with the ledger cache. A leader that slept may be none any more.
   if (leads()) {
-    const bool ours =
-        core_ && !core_->lost() && lease_confirmed(steady_now()) && token_ >= known_token();
+    const bool ours = scheduler_ && !scheduler_->has_lost_leadership() &&
+                      lease_confirmed(steady_now()) && fencing_token_ >= known_token();
     if (ours) cancellation_gate_.acknowledge(id, version);
     return ours;
   }
   return cancellation_gate_.wait_until_known(
       lock, id, version, leader, std::min(deadline - steady_now(), kTellPatience),
-      [this] { return read_barrier_.failing() || mirror_.leader().empty(); });
+      [this] { return read_barrier_.failing() || ledger_cache_.leader().empty(); });
 }
 
 // ---------------------------------------------------------------- workers, health checks, siblings
 
-void Node::report(const httplib::Request& req, httplib::Response& res) {
+void Controller::report(const httplib::Request& req, httplib::Response& res) {
   const auto body = wire::unpack(req.body);
-  const auto r = body ? wire::parse_report(*body) : std::nullopt;
+  const auto r = body ? wire::parse_heartbeat(*body) : std::nullopt;
   if (!r) return reply(res, 400, {{"error", "not a report"}});
   std::unique_lock lock(mutex_);
   const double now = steady_now();
-  if (role_ == Role::doubtful && alone(now)) {
+  if (role_ == Role::unconfirmed && is_isolated(now)) {
     lock.unlock();
     return reply(res, 503, {{"error", "cut off"}});
   }
@@ -152,16 +154,16 @@
     lock.unlock();
     return reply(res, 503, {{"error", "not sure to lead"}});
   }
-  if (leads() && core_ && !core_->lost()) {
-    core_->allow_starts(role_ == Role::leading ||
-                        now - cancellation_staleness_.at() < kMaxStaleness);
-    const ReportReply out = core_->on_report(*r, now);
-    if (out.verdict != ReportReply::Verdict::deposed) {
-      const json answer = wire::report_answer(token_, out.orders);
-      const bool wants_round = core_->wants_round();
+  if (leads() && scheduler_ && !scheduler_->has_lost_leadership()) {
+    scheduler_->allow_starts(role_ == Role::leading ||
+                             now - cancellation_staleness_.at() < kMaxStaleness);
+    const HeartbeatReply out = scheduler_->on_heartbeat(*r, now);
+    if (out.verdict != HeartbeatReply::Verdict::deposed) {
+      const json answer = wire::report_answer(fencing_token_, out.commands);
+      const bool needs_round = scheduler_->needs_round();
       lock.unlock();
       commit_cv_.notify_one();
-      if (wants_round) engine_cv_.notify_one();
+      if (needs_round) scheduling_cv_.notify_one();
       return reply(res, 200, answer);
     }
     step_down(Role::follower, "a worker has seen a higher token");
@@ -169,13 +171,14 @@
   // Only a leader that we have heard of lately is worth sending a worker to: one that is dead
   // would cost it 4 s of waiting.
   std::string leader;
-  if (now - state_ok_at_ < 1.5 && mirror_.leader() != config_.core.label) leader = mirror_.leader();
+  if (now - state_ok_at_ < 1.5 && ledger_cache_.leader() != config_.scheduler.label)
+    leader = ledger_cache_.leader();
   lock.unlock();
   spdlog::debug("report of {} sent on to {}", r->machine, leader.empty() ? "anybody" : leader);
   reply(res, 421, wire::redirect(leader));
 }
 
-void Node::health(httplib::Response& res) {
+void Controller::health(httplib::Response& res) {
   const double now = steady_now();
   const bool mine = loaded_ && now - state_ok_at_ < kHealthPatience;
   // During an outage all nodes are alike, and being marked unhealthy would outlast it; only a
@@ -184,10 +187,10 @@
   reply(res, ok ? 200 : 503, {{"ok", ok}});
 }
 
-void Node::serve_mesh(const httplib::Request& req, httplib::Response& res) {
+void Controller::serve_mesh(const httplib::Request& req, httplib::Response& res) {
   if (req.target == mesh::kCancelled && req.method == "POST") {
     const auto c = mesh::decode_cancelled(req.body);
-    res.set_content(json{{"token", c ? take_cancelled(*c) : 0}}.dump(), "application/json");
+    res.set_content(json{{"token", c ? on_cancellations(*c) : 0}}.dump(), "application/json");
     return;
   }
   if (req.target != mesh::kView || req.method != "POST") {
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -11,7 +11,7 @@
 #include <iostream>
 
 #include "config/config.h"
-#include "daemon/node.h"
+#include "daemon/controller.h"
 
 namespace {
 
@@ -61,11 +61,11 @@
     std::cerr << "rookdyked: " << e.what() << std::endl;
     return 2;
   }
-  set_up_log(config.core.label);
+  set_up_log(config.scheduler.label);
   raise_descriptors(config.max_sockets);
   const auto bind = config.bind, mesh = config.mesh;
-  rookdyke::Node node(std::move(config));
-  if (!node.start()) {
+  rookdyke::Controller controller(std::move(config));
+  if (!controller.start()) {
     spdlog::error("cannot listen on {}:{} or {}:{}", bind.host, bind.port, mesh.host, mesh.port);
     return 1;
   }
--- a/src/core/boot_statistics.cpp
+++ b/src/fleet/boot_statistics.cpp
@@ -1,4 +1,4 @@
-#include "core/boot_statistics.h"
+#include "fleet/boot_statistics.h"
 
 #include <algorithm>
 #include <vector>
--- a/src/core/boot_statistics.h
+++ b/src/fleet/boot_statistics.h
@@ -1,7 +1,7 @@
 #pragma once
 // How long the machines of one type have taken to boot recently, and what follows from it: from
 // when on a booting machine is late, and from when on it is taken for lost. Pure and
-// single-threaded: told the time, like the core.
+// single-threaded: told the time, like the scheduler.
 
 #include <cstddef>
 #include <deque>
--- a/src/core/forecast.h
+++ b/src/fleet/forecast.h
@@ -5,8 +5,8 @@
 
 #include <deque>
 
-#include "core/settings.h"
-#include "core/types.h"
+#include "model/settings.h"
+#include "model/types.h"
 
 namespace rookdyke {
 
@@ -15,30 +15,30 @@
   Forecast(const Tuning& tuning, double boot_s) : tuning_(tuning), ahead_(boot_s) {}
 
   // Takes one demand sample; call every tuning.sample_s.
-  void sample(double now, const Amounts& demand);
+  void sample(double now, const Resources& demand);
 
   // Demand expected one boot ahead.
-  Amounts ahead() const { return next_; }
+  Resources ahead() const { return next_; }
   // The miss tail per resource.
-  Amounts spare() const;
+  Resources spare() const;
   bool has_history() const { return !misses_.empty(); }
 
   // Machines of this size wanted; the start value holds until a forecast has come due.
-  double target(const Amounts& size) const;
+  double target(const Resources& size) const;
 
  private:
   struct Point {
     double at;
-    Amounts value;
+    Resources value;
   };
-  Amounts trend(double now) const;
+  Resources trend(double now) const;
 
   Tuning tuning_;
   double ahead_;
-  std::deque<Point> recent_;    // demand samples within the trend window
-  std::deque<Point> pending_;   // forecasts that have not come due
-  std::deque<Amounts> misses_;  // actual minus forecast, positive part, newest last
-  Amounts next_;
+  std::deque<Point> recent_;      // demand samples within the trend window
+  std::deque<Point> pending_;     // forecasts that have not come due
+  std::deque<Resources> misses_;  // actual minus forecast, positive part, newest last
+  Resources next_;
 };
 
 }  // namespace rookdyke
--- a/src/core/cancellations.h
+++ b/src/leadership/cancellations.h
@@ -1,7 +1,8 @@
 #pragma once
 // What has to be so before a user may hear that a job is cancelled, and up to which moment a leader
 // knows of every cancellation that any user was told of. The invariant that both keep, with its
-// argument, is in docs/design.md, "Cancellations". Pure, like the core; whoever owns them locks.
+// argument, is in docs/design.md, "Cancellations". Pure, like the scheduler; whoever owns them
+// locks.
 
 #include <algorithm>
 #include <cstdint>
@@ -62,38 +63,38 @@
   void proven(double sent) { proven_ = std::max(proven_, sent); }
   // A sibling answered a request that was sent then. `incarnation` names its process, `token` is
   // the highest that it knows, `ours` the one that we hold (0: none).
-  void vouched(const std::string& sibling, const std::string& incarnation, uint64_t token,
-               uint64_t ours, double sent, double now) {
-    Voucher& v = vouchers_[sibling];
+  void on_sibling_answer(const std::string& sibling, const std::string& incarnation,
+                         uint64_t fencing_token, uint64_t ours, double sent, double now) {
+    SiblingProof& v = sibling_proofs_[sibling];
     if (incarnation.empty() || v.incarnation != incarnation)
       v = {incarnation, now, sent};  // what its predecessor told, nobody knows any more
     v.until = std::max(v.until, sent);
-    v.token = token;
+    v.fencing_token = fencing_token;
     if (ours > 0) advance(ours);
   }
   double at() const { return proven_; }
 
  private:
-  struct Voucher {
+  struct SiblingProof {
     std::string incarnation;
     double since = 0, until = 0;
-    uint64_t token = 0;
+    uint64_t fencing_token = 0;
   };
   void advance(uint64_t ours) {
     if (siblings_.empty()) return;
     double until = 1e18;
     for (const std::string& s : siblings_) {
-      auto it = vouchers_.find(s);
-      if (it == vouchers_.end()) return;
-      const Voucher& v = it->second;
-      if (v.incarnation.empty() || v.since > proven_ || v.token > ours) return;
+      auto it = sibling_proofs_.find(s);
+      if (it == sibling_proofs_.end()) return;
+      const SiblingProof& v = it->second;
+      if (v.incarnation.empty() || v.since > proven_ || v.fencing_token > ours) return;
       until = std::min(until, v.until);
     }
     proven(until);
   }
 
   std::vector<std::string> siblings_;
-  std::map<std::string, Voucher> vouchers_;
+  std::map<std::string, SiblingProof> sibling_proofs_;
   double proven_;
 };
 
--- a/src/core/lease_clock.h
+++ b/src/leadership/lease_clock.h
@@ -2,7 +2,7 @@
 // Whether this process has stood still while its clocks ran on, and whether what it knows of its
 // lease may still be acted on. A process may stop in any line of its code for many times its lease:
 // what was read, decided or queued before it counts only once the lease has been asked for again.
-// Pure: told the time, like the core.
+// Pure: told the time, like the scheduler.
 
 #include <algorithm>
 
--- a/src/core/mirror.cpp
+++ b/src/ledger/ledger_cache.cpp
@@ -1,4 +1,4 @@
-#include "core/mirror.h"
+#include "ledger/ledger_cache.h"
 
 #include <spdlog/spdlog.h>
 
@@ -14,8 +14,8 @@
 }
 }  // namespace
 
-void Mirror::put_page(uint32_t n, const nlohmann::json& value, uint64_t version) {
-  MirrorPage& page = pages_[n];
+void LedgerCache::put_page(uint32_t n, const nlohmann::json& value, uint64_t version) {
+  CachedPage& page = pages_[n];
   if (version <= page.version) return;
   // Whoever writes it next has to know its version, also if it cannot be read: a leader whose write
   // fails on it steps down, and so would all its successors.
@@ -36,20 +36,20 @@
   page.holds.clear();
   for (ledger::PageEntry& e : read->entries) {
     ChunkKey key{e.n, std::nullopt};
-    if (e.part) key.part_first = e.part->first;
-    MirrorChunk& chunk = jobs_[e.job].chunks[key];
-    // It was moved, and this page not written since (core/ledger.h).
+    if (e.range) key.range_first = e.range->first;
+    CachedChunk& chunk = jobs_[e.job].chunks[key];
+    // It was moved, and this page not written since (ledger/rows.h).
     if (chunk.page != n && chunk.version > version) continue;
-    chunk = {n, version, std::move(e.chunk), e.part};
+    chunk = {n, version, std::move(e.chunk), e.range};
     page.holds.emplace_back(e.job, key);
   }
 }
 
-void Mirror::put(const std::string& key, const nlohmann::json& value, uint64_t version) {
+void LedgerCache::put(const std::string& key, const nlohmann::json& value, uint64_t version) {
   if (reloading_) seen_.insert(key);
   if (starts_with(key, ledger::kJobPrefix)) {
     const std::string id = key.substr(std::string_view(ledger::kJobPrefix).size());
-    MirrorJob& job = jobs_[id];
+    CachedJob& job = jobs_[id];
     if (version <= job.version) return;
     auto row = ledger::decode_job(id, value);
     job.readable = row.has_value();
@@ -59,7 +59,7 @@
     }
     job.version = version;
     job.row = std::move(*row);
-    if (job.row.standing == ledger::Standing::aborted)
+    if (job.row.status == ledger::JobStatus::cancelled)
       last_cancelled_ = std::max(last_cancelled_, version);
   } else if (starts_with(key, ledger::kTaskPrefix)) {
     const std::string_view number =
@@ -94,7 +94,7 @@
   }
 }
 
-void Mirror::erase(const std::string& key, uint64_t version) {
+void LedgerCache::erase(const std::string& key, uint64_t version) {
   if (key == ledger::kLeaderKey) {
     if (leader_version_ >= version) return;
     leader_.clear();
@@ -106,12 +106,12 @@
   // Job rows are never deleted, since a final state must be kept, nor are pages.
 }
 
-void Mirror::begin_reload() {
+void LedgerCache::begin_reload() {
   reloading_ = true;
   seen_.clear();
 }
 
-void Mirror::end_reload() {
+void LedgerCache::end_reload() {
   reloading_ = false;
   if (!seen_.count(ledger::kLeaderKey)) leader_.clear();
   for (auto f = fleet_.begin(); f != fleet_.end();)
@@ -119,28 +119,28 @@
   seen_.clear();
 }
 
-const MirrorJob* Mirror::job(const std::string& id) const {
+const CachedJob* LedgerCache::job(const std::string& id) const {
   auto it = jobs_.find(id);
   return it == jobs_.end() || it->second.version == 0 ? nullptr : &it->second;
 }
 
-bool Mirror::unreadable(const std::string& id) const {
+bool LedgerCache::unreadable(const std::string& id) const {
   auto it = jobs_.find(id);
   return it != jobs_.end() && !it->second.readable;
 }
 
-std::optional<JobAnswer> Mirror::answer(const std::string& id) const {
-  const MirrorJob* j = job(id);
+std::optional<JobAnswer> LedgerCache::answer(const std::string& id) const {
+  const CachedJob* j = job(id);
   if (!j) return std::nullopt;
   JobAnswer out;
-  out.standing = j->row.standing;
-  if (out.standing == ledger::Standing::done) {
+  out.status = j->row.status;
+  if (out.status == ledger::JobStatus::done) {
     out.done = j->row.tasks;
     return out;
   }
   for (const auto& [n, c] : j->chunks) {
     out.done += c.chunk.done.count();
-    if (out.standing == ledger::Standing::open) out.running += c.chunk.live.size();
+    if (out.status == ledger::JobStatus::open) out.running += c.chunk.live.size();
   }
   out.done = std::min(out.done, j->row.tasks);  // a page may name tasks that the job does not have
   out.running = std::min(out.running, j->row.tasks);
--- a/src/core/page.h
+++ b/src/ledger/page.h
@@ -1,24 +1,24 @@
 #pragma once
 // A page of the ledger as the leader keeps it: which chunks of jobs it holds, and what of them is
-// still to be written (core/ledger.h, core/transactions.cpp).
+// still to be written (ledger/rows.h, scheduler/transactions.cpp).
 
 #include <cstdint>
 #include <set>
 #include <utility>
 #include <vector>
 
-#include "core/ledger.h"
-#include "core/types.h"
+#include "ledger/rows.h"
+#include "model/types.h"
 
 namespace rookdyke {
 
 // Whose chunks share a page: those that are written in a hurry are not held up by, or do not have
 // to carry, those that are not.
-enum class PageKind : uint8_t { usual, promised, service };
+enum class PageKind : uint8_t { regular, prompt_start, service };
 
 // Who waits for a change to become durable, most impatient first: replicas of services, tasks
 // promised a prompt start, other starts, tasks that have to start again, nobody.
-enum class Wait : uint8_t { replica, promised, start, again, nobody };
+enum class WriteUrgency : uint8_t { replica, prompt_start, start, restart, none };
 
 // A row of the ledger that holds chunks of several jobs; at most one write of it is under way.
 struct Page {
@@ -30,11 +30,11 @@
   bool readable = true;                            // one that can't be read is never written
   // Chunks that do not fit it any more were moved to so many pages, and are durable only here until
   // these are written; and the page that this one took such chunks from.
-  uint32_t awaits = 0;
-  Index relieves = kNone;
-  double dirty_since = -1;    // negative: nothing to write
-  Wait waits = Wait::nobody;  // for what is to be written
-  PageKind kind = PageKind::usual;
+  uint32_t unwritten_splits = 0;
+  Index split_from = kNone;
+  double dirty_since = -1;                          // negative: nothing to write
+  WriteUrgency write_urgency = WriteUrgency::none;  // for what is to be written
+  PageKind kind = PageKind::regular;
   double retry_at = 0;
 };
 
--- a/src/core/rented_list.cpp
+++ b/src/ledger/rented_list.cpp
@@ -1,4 +1,4 @@
-#include "core/rented_list.h"
+#include "ledger/rented_list.h"
 
 #include <spdlog/spdlog.h>
 
@@ -26,7 +26,7 @@
 }
 
 // Appends the machines of one group: [type, zone, spot, [names]].
-void decode_group(const json& group, const Names& types, Names& zones,
+void decode_group(const json& group, const NameTable& types, NameTable& zones,
                   std::vector<RentedMachine>& machines) {
   if (!readable(group)) return;
   for (const json& name : group[3]) {
@@ -47,7 +47,8 @@
           static_cast<uint32_t>(std::max<size_t>(1, ledger::page_room(value_bytes) / kNameBytes))) {
 }
 
-std::vector<RentedMachine> RentedList::load(const Rows& rows, const Names& types, Names& zones) {
+std::vector<RentedMachine> RentedList::load(const Rows& rows, const NameTable& types,
+                                            NameTable& zones) {
   std::vector<RentedMachine> machines;
   for (const auto& [key, row] : rows) {
     const auto number = ledger::fleet_row(key);
@@ -76,8 +77,8 @@
   return !written_at_ || now - *written_at_ > kLongestDelay;
 }
 
-json RentedList::encode_row(uint32_t row, const Lookup& machine, const Names& types,
-                            const Names& zones) const {
+json RentedList::encode_row(uint32_t row, const Lookup& machine, const NameTable& types,
+                            const NameTable& zones) const {
   std::map<std::tuple<Index, Index, bool>, json> groups;  // names by type, zone and kind
   const Index first = row * machines_per_row_;
   for (Index i = first; i < first + machines_per_row_; ++i)
@@ -91,7 +92,8 @@
 }
 
 void RentedList::write(double now, size_t transaction_rows, const Lookup& machine,
-                       const Names& types, const Names& zones, ledger::Transaction& transaction) {
+                       const NameTable& types, const NameTable& zones,
+                       ledger::Transaction& transaction) {
   in_flight_ = true;
   written_at_ = now;
   const size_t most = std::min(transaction_rows, kMostRows);
@@ -102,7 +104,8 @@
     const std::string key = ledger::fleet_key(row);
     const auto known = revisions_.find(key);
     transaction.conditions.push_back({key, known == revisions_.end() ? 0 : known->second});
-    json value = {{"machines", encode_row(row, machine, types, zones)}, {"w", transaction.mark}};
+    json value = {{"machines", encode_row(row, machine, types, zones)},
+                  {"w", transaction.transaction_id}};
     transaction.changes.push_back({key, false, std::move(value), 0});
   }
 }
--- a/src/core/rented_list.h
+++ b/src/ledger/rented_list.h
@@ -1,7 +1,7 @@
 #pragma once
 // The list of rented machines that a leader keeps in the ledger for its successor. A machine's row
 // follows from its index, so that a change touches one row, and only changed rows are written.
-// Pure and single-threaded: told the time, like the core.
+// Pure and single-threaded: told the time, like the scheduler.
 
 #include <functional>
 #include <map>
@@ -11,8 +11,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/ledger.h"
-#include "core/types.h"
+#include "ledger/rows.h"
+#include "model/types.h"
 
 namespace rookdyke {
 
@@ -35,7 +35,7 @@
 
   // Takes over the list as a predecessor left it. All its rows will be written anew. Entries that
   // cannot be read are passed over; zones that are not known yet get an index.
-  std::vector<RentedMachine> load(const Rows& rows, const Names& types, Names& zones);
+  std::vector<RentedMachine> load(const Rows& rows, const NameTable& types, NameTable& zones);
 
   // What the list says of this machine has changed.
   void mark_changed(Index machine);
@@ -47,15 +47,15 @@
   bool overdue(double now) const;
   // Begins a write: adds changed rows, as many as one transaction may take of at most
   // transaction_rows, and their conditions. Only if can_write(now).
-  void write(double now, size_t transaction_rows, const Lookup& machine, const Names& types,
-             const Names& zones, ledger::Transaction& transaction);
+  void write(double now, size_t transaction_rows, const Lookup& machine, const NameTable& types,
+             const NameTable& zones, ledger::Transaction& transaction);
   // The write that is under way has come to this outcome. Rows that were not written are changed
   // still.
   void on_result(const ledger::Transaction& transaction, const ledger::Result& result);
 
  private:
-  nlohmann::json encode_row(uint32_t row, const Lookup& machine, const Names& types,
-                            const Names& zones) const;
+  nlohmann::json encode_row(uint32_t row, const Lookup& machine, const NameTable& types,
+                            const NameTable& zones) const;
 
   uint32_t machines_per_row_;
   std::set<uint32_t> changed_;     // rows
--- a/src/core/ledger.cpp
+++ b/src/ledger/rows.cpp
@@ -1,4 +1,4 @@
-#include "core/ledger.h"
+#include "ledger/rows.h"
 
 #include <algorithm>
 #include <charconv>
@@ -86,8 +86,8 @@
   const size_t room = page_room(value_bytes) - kEntryFrame - 24;
   return static_cast<uint32_t>(std::clamp<size_t>(room / kUsualAttempt, 1, 512));
 }
-size_t encoded_size(const Live& l) {
-  return 8 + digits(l.task) + digits(l.attempt) + l.machine.size() + digits(l.session);
+size_t encoded_size(const LiveAttempt& l) {
+  return 8 + digits(l.task) + digits(l.attempt) + l.machine.size() + digits(l.epoch);
 }
 size_t encoded_size(const std::string& job, const TaskSet& done) {
   size_t n = kEntryFrame + job.size();
@@ -148,22 +148,22 @@
               {"team", s.team},
               {"image", s.image},
               {"zone", s.zone},
-              {"gang", s.shape == Shape::gang},
-              {"rank", static_cast<int>(s.rank)},
-              {"cpus", s.each.cpus},
-              {"gpus", s.each.gpus},
-              {"mem", s.each.mem},
+              {"gang", s.shape == JobShape::gang},
+              {"rank", static_cast<int>(s.priority)},
+              {"cpus", s.per_task.cpus},
+              {"gpus", s.per_task.gpus},
+              {"mem", s.per_task.memory_gb},
               {"image_gb", s.image_gb},
               {"types", s.types},
-              {"one_zone", s.one_zone},
-              {"scatter", s.scatter},
+              {"one_zone", s.single_zone},
+              {"scatter", s.spread_zones},
               {"spot", s.spot},
-              {"estimate", s.estimate_s},
-              {"checkpoint", s.checkpoint_s},
-              {"save", s.save_s},
-              {"due", s.due_s}};
+              {"estimate", s.expected_runtime_s},
+              {"checkpoint", s.checkpoint_interval_s},
+              {"save", s.checkpoint_duration_s},
+              {"due", s.deadline_s}};
   // Version 0.1 knows no services and reads past this field (docs/operations.md, "Upgrading").
-  if (s.shape == Shape::service) out["service"] = true;
+  if (s.shape == JobShape::service) out["service"] = true;
   return out;
 }
 
@@ -175,30 +175,30 @@
   v.at("team").get_to(s.team);
   v.at("image").get_to(s.image);
   v.at("zone").get_to(s.zone);
-  s.shape = v.at("gang").get<bool>() ? Shape::gang : Shape::array;
-  if (v.value("service", false)) s.shape = Shape::service;
-  s.rank = static_cast<Rank>(whole(v.at("rank"), 0, 3));
-  s.each = {amount(v.at("cpus")), amount(v.at("gpus")), amount(v.at("mem"))};
+  s.shape = v.at("gang").get<bool>() ? JobShape::gang : JobShape::array;
+  if (v.value("service", false)) s.shape = JobShape::service;
+  s.priority = static_cast<Priority>(whole(v.at("rank"), 0, 3));
+  s.per_task = {amount(v.at("cpus")), amount(v.at("gpus")), amount(v.at("mem"))};
   s.image_gb = amount(v.at("image_gb"));
   v.at("types").get_to(s.types);
-  v.at("one_zone").get_to(s.one_zone);
-  v.at("scatter").get_to(s.scatter);
+  v.at("one_zone").get_to(s.single_zone);
+  v.at("scatter").get_to(s.spread_zones);
   v.at("spot").get_to(s.spot);
-  s.estimate_s = amount(v.at("estimate"));
-  s.checkpoint_s = amount(v.at("checkpoint"));
-  s.save_s = amount(v.at("save"));
-  s.due_s = amount(v.at("due"));
+  s.expected_runtime_s = amount(v.at("estimate"));
+  s.checkpoint_interval_s = amount(v.at("checkpoint"));
+  s.checkpoint_duration_s = amount(v.at("save"));
+  s.deadline_s = amount(v.at("due"));
   return s;
 }
 
 }  // namespace
 
 json encode(const JobRow& row) {
-  json out = {{"standing", static_cast<int>(row.standing)},
+  json out = {{"standing", static_cast<int>(row.status)},
               {"tasks", row.tasks},
-              {"per", row.per},
-              {"w", row.mark}};
-  if (row.at_s > 0) out["at"] = row.at_s;
+              {"per", row.chunk_size},
+              {"w", row.transaction_id}};
+  if (row.timestamp_s > 0) out["at"] = row.timestamp_s;
   if (row.spec) out["spec"] = encode_spec(*row.spec);
   return out;
 }
@@ -217,13 +217,14 @@
 std::optional<JobRow> decode_job(const std::string& id, const json& v) {
   try {
     JobRow row;
-    row.standing = static_cast<Standing>(whole(v.at("standing"), 0, 2));
+    row.status = static_cast<JobStatus>(whole(v.at("standing"), 0, 2));
     row.tasks = static_cast<uint32_t>(whole(v.at("tasks"), 1, kMostTasks));
-    if (v.contains("per")) row.per = static_cast<uint32_t>(whole(v.at("per"), 0, kMostTasks));
-    if (v.contains("at")) row.at_s = amount(v.at("at"));
-    row.mark = v.value("w", "");
+    if (v.contains("per"))
+      row.chunk_size = static_cast<uint32_t>(whole(v.at("per"), 0, kMostTasks));
+    if (v.contains("at")) row.timestamp_s = amount(v.at("at"));
+    row.transaction_id = v.value("w", "");
     if (v.contains("spec")) row.spec = decode_spec(id, row.tasks, v.at("spec"));
-    if (row.standing == Standing::open && (!row.spec || row.per == 0)) return std::nullopt;
+    if (row.status == JobStatus::open && (!row.spec || row.chunk_size == 0)) return std::nullopt;
     return row;
   } catch (const std::exception&) {
     return std::nullopt;
@@ -234,16 +235,17 @@
   json entries = json::array();
   for (const PageEntry& e : page.entries) {
     json live = json::array();
-    for (const Live& l : e.chunk.live)
-      live.push_back(json::array({l.task, l.attempt, l.machine, l.session}));
-    json entry = json::array({e.job, e.n, e.chunk.top, e.chunk.done.encode(), std::move(live)});
-    if (e.part) {
-      entry.push_back(e.part->first);
-      entry.push_back(e.part->count);
+    for (const LiveAttempt& l : e.chunk.live)
+      live.push_back(json::array({l.task, l.attempt, l.machine, l.epoch}));
+    json entry =
+        json::array({e.job, e.n, e.chunk.highest_attempt, e.chunk.done.encode(), std::move(live)});
+    if (e.range) {
+      entry.push_back(e.range->first);
+      entry.push_back(e.range->count);
     }
     entries.push_back(std::move(entry));
   }
-  return {{"e", std::move(entries)}, {"w", page.mark}};
+  return {{"e", std::move(entries)}, {"w", page.transaction_id}};
 }
 
 std::optional<Page> decode_page(const json& v) {
@@ -253,30 +255,31 @@
       PageEntry out;
       out.job = name(e.at(0));
       out.n = task_number(e.at(1));
-      out.chunk.top = whole(e.at(2), 0, kMostAttempts);
+      out.chunk.highest_attempt = whole(e.at(2), 0, kMostAttempts);
       out.chunk.done = task_set(e.at(3));
       out.chunk.live.reserve(list(e.at(4)).size());
       for (const json& l : e.at(4))
         out.chunk.live.push_back({task_number(l.at(0)), whole(l.at(1), 0, kMostAttempts),
                                   name(l.at(2)), whole(l.at(3), 0, UINT64_MAX)});
       if (e.size() >= kPartEntrySize)
-        out.part = Part{task_number(e.at(5)), static_cast<uint32_t>(whole(e.at(6), 1, kMostTasks))};
+        out.range =
+            TaskRange{task_number(e.at(5)), static_cast<uint32_t>(whole(e.at(6), 1, kMostTasks))};
       p.entries.push_back(std::move(out));
     }
-    p.mark = v.value("w", "");
+    p.transaction_id = v.value("w", "");
     return p;
   } catch (const std::exception&) {
     return std::nullopt;
   }
 }
 
-json encode_types(const std::vector<TypeInfo>& types) {
+json encode_types(const std::vector<MachineType>& types) {
   json out = json::array();
-  for (const TypeInfo& t : types)
+  for (const MachineType& t : types)
     out.push_back({{"name", t.name},
                    {"cpus", t.size.cpus},
                    {"gpus", t.size.gpus},
-                   {"mem", t.size.mem},
+                   {"mem", t.size.memory_gb},
                    {"cache_gb", t.cache_gb},
                    {"fetch", t.fetch_gb_per_s},
                    {"price", t.price},
@@ -286,11 +289,11 @@
   return {{"types", out}};
 }
 
-std::vector<TypeInfo> decode_types(const json& v) {
-  std::vector<TypeInfo> out;
+std::vector<MachineType> decode_types(const json& v) {
+  std::vector<MachineType> out;
   try {
     for (const json& t : list(v.at("types"))) {
-      TypeInfo i;
+      MachineType i;
       i.name = name(t.at("name"));
       i.size = {amount(t.at("cpus")), amount(t.at("gpus")), amount(t.at("mem"))};
       i.cache_gb = amount(t.at("cache_gb"));
--- a/src/core/ledger.h
+++ b/src/ledger/rows.h
@@ -21,7 +21,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "model/types.h"
 
 namespace rookdyke::ledger {
 
@@ -62,21 +62,21 @@
 };
 
 // An attempt that may be on a machine.
-struct Live {
+struct LiveAttempt {
   uint32_t task = 0;
   uint64_t attempt = 0;
   std::string machine;
-  uint64_t session = 0;
+  uint64_t epoch = 0;
 };
 
 struct Chunk {
   TaskSet done;
-  std::vector<Live> live;
-  uint64_t top = 0;  // highest attempt number used in this chunk
+  std::vector<LiveAttempt> live;
+  uint64_t highest_attempt = 0;  // highest attempt number used in this chunk
 };
 
 // Some of a chunk's tasks: [first, first + count).
-struct Part {
+struct TaskRange {
   uint32_t first = 0, count = 0;
 };
 
@@ -87,23 +87,23 @@
   // Only this part of the chunk lies here; empty: all of it. Written only once the state service
   // has lowered its limits, which it does after all replicas know of parts: version 0.1 would take
   // a part for the whole.
-  std::optional<Part> part;
+  std::optional<TaskRange> range;
 };
 struct Page {
   std::vector<PageEntry> entries;
-  std::string mark;  // names the transaction that wrote it
+  std::string transaction_id;  // names the transaction that wrote it
 };
 
-enum class Standing : uint8_t { open, done, aborted };
+enum class JobStatus : uint8_t { open, done, cancelled };
 
 struct JobRow {
-  Standing standing = Standing::open;
+  JobStatus status = JobStatus::open;
   uint32_t tasks = 0;
-  uint32_t per = 0;  // tasks per chunk
-  double at_s = 0;   // time of day: accepted; of a cancelled job, cancelled
+  uint32_t chunk_size = 0;  // tasks per chunk
+  double timestamp_s = 0;   // time of day: accepted; of a cancelled job, cancelled
   // Kept by a cancelled job: its tasks count for limits and zones until they are proven gone.
   std::optional<JobSpec> spec;
-  std::string mark;
+  std::string transaction_id;
 };
 
 // How many tasks a chunk takes so that it fits a page of that many bytes, and what is set aside of
@@ -113,7 +113,7 @@
 // What a page may hold besides its frame.
 size_t page_room(size_t value_bytes);
 // At least the bytes that these take in a page.
-size_t encoded_size(const Live& live);
+size_t encoded_size(const LiveAttempt& live);
 size_t encoded_size(const std::string& job, const TaskSet& done);
 
 json encode(const JobRow& row);
@@ -127,10 +127,10 @@
 std::optional<JobRow> decode_job(const std::string& id, const json& v);
 std::optional<Page> decode_page(const json& v);
 
-json encode_types(const std::vector<TypeInfo>& types);
-std::vector<TypeInfo> decode_types(const json& v);
+json encode_types(const std::vector<MachineType>& types);
+std::vector<MachineType> decode_types(const json& v);
 
-// A transaction in the core's terms; the state client puts it into the protocol's.
+// A transaction in the scheduler's terms; the state client puts it into the protocol's.
 struct Condition {
   std::string key;
   uint64_t version = 0;  // 0: must not exist
@@ -144,7 +144,7 @@
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Change> changes;
-  std::string mark;  // also inside the first written value
+  std::string transaction_id;  // also inside the first written value
 };
 
 enum class Outcome : uint8_t {
--- a/src/mesh/mesh.cpp
+++ b/src/mesh/mesh.cpp
@@ -27,15 +27,10 @@
 }  // namespace
 
 json encode(const View& v) {
-  json out = {{"label", v.label},
-              {"incarnation", v.incarnation},
-              {"read_to", v.read_to},
-              {"leader", v.leader},
-              {"token", v.token},
-              {"state_ok", v.state_ok},
-              {"writes", v.writes},
-              {"rate_lowered", v.rate_lowered},
-              {"sizes_lowered", v.sizes_lowered}};
+  json out = {
+      {"label", v.label},   {"incarnation", v.incarnation},   {"read_to", v.read_to},
+      {"leader", v.leader}, {"token", v.fencing_token},       {"state_ok", v.state_ok},
+      {"writes", v.writes}, {"rate_lowered", v.rate_lowered}, {"sizes_lowered", v.sizes_lowered}};
   if (!v.images.is_null()) out["images"] = v.images;
   return out;
 }
@@ -52,11 +47,11 @@
     View v;
     j.at("label").get_to(v.label);
     j.at("leader").get_to(v.leader);
-    const auto token = revision(j.at("token"));
+    const auto fencing_token = revision(j.at("token"));
     // One that is too high would let users hear of what no leader knows.
     const auto read_to = revision(j.value("read_to", json(uint64_t{0})));
-    if (!token || !read_to) return std::nullopt;
-    v.token = *token;
+    if (!fencing_token || !read_to) return std::nullopt;
+    v.fencing_token = *fencing_token;
     v.read_to = *read_to;
     j.at("state_ok").get_to(v.state_ok);
     v.writes = j.value("writes", 0.0);
@@ -74,7 +69,7 @@
 json encode(const Cancelled& c) {
   json rows = json::array();
   for (const Cancelled::Row& r : c.rows) rows.push_back(json::array({r.job, r.value, r.version}));
-  return {{"token", c.token}, {"rows", std::move(rows)}};
+  return {{"token", c.fencing_token}, {"rows", std::move(rows)}};
 }
 
 std::optional<Cancelled> decode_cancelled(const std::string& text) {
@@ -82,9 +77,9 @@
   if (j.is_discarded()) return std::nullopt;
   try {
     Cancelled c;
-    const auto token = revision(j.at("token"));
-    if (!token) return std::nullopt;
-    c.token = *token;
+    const auto fencing_token = revision(j.at("token"));
+    if (!fencing_token) return std::nullopt;
+    c.fencing_token = *fencing_token;
     for (const json& r : j.at("rows")) {
       const auto version = revision(r.at(2));
       if (!version) return std::nullopt;
@@ -110,7 +105,7 @@
   return decode(r->body);
 }
 
-std::optional<uint64_t> Peer::tell(const Cancelled& c) {
+std::optional<uint64_t> Peer::send_cancellations(const Cancelled& c) {
   const auto r =
       http_.Post(kCancelled, encode(c).dump(-1, ' ', false, json::error_handler_t::replace),
                  "application/json");
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -2,7 +2,7 @@
 // What siblings tell one another on mesh_addr, in JSON: who leads, with which token, whether the
 // state service answers, what changes a second they have use for. It makes a cut leader step aside
 // sooner and tells an outage from a cut. One rule rests on what they say of cancellations
-// (core/cancellations.h): no user hears of one that the leader may not know.
+// (leadership/cancellations.h): no user hears of one that the leader may not know.
 
 #include <httplib.h>
 
@@ -20,13 +20,13 @@
 
 struct View {
   std::string label;
-  std::string incarnation;  // names the process, not the node
-  std::string leader;       // empty: none known
-  uint64_t token = 0;       // the highest known of
-  uint64_t read_to = 0;     // a leader has read the ledger up to here
-  bool state_ok = false;    // the state service answered lately
-  double writes = 0;        // changes a second it has use for
-  nlohmann::json images;    // from the leader, now and then: which machines hold which images
+  std::string incarnation;     // names the process, not the node
+  std::string leader;          // empty: none known
+  uint64_t fencing_token = 0;  // the highest known of
+  uint64_t read_to = 0;        // a leader has read the ledger up to here
+  bool state_ok = false;       // the state service answered lately
+  double writes = 0;           // changes a second it has use for
+  nlohmann::json images;       // from the leader, now and then: which machines hold which images
   // The state service has lowered its limits: of changes a second, of sizes. Version 0.1 reads past
   // these and says neither.
   bool rate_lowered = false, sizes_lowered = false;
@@ -44,7 +44,7 @@
     nlohmann::json value;
     uint64_t version = 0;
   };
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
   std::vector<Row> rows;
 };
 nlohmann::json encode(const Cancelled& c);
@@ -58,7 +58,7 @@
   // Tells our view and hears theirs.
   std::optional<View> exchange(const View& ours);
   // The token that it holds, having taken the rows up; 0: it holds none. Empty: no answer.
-  std::optional<uint64_t> tell(const Cancelled& c);
+  std::optional<uint64_t> send_cancellations(const Cancelled& c);
 
  private:
   std::string label_;
--- a/src/core/job.h
+++ b/src/model/job.h
@@ -8,10 +8,10 @@
 #include <set>
 #include <vector>
 
-#include "core/ledger.h"
-#include "core/page.h"
-#include "core/states.h"
-#include "core/types.h"
+#include "ledger/page.h"
+#include "ledger/rows.h"
+#include "model/states.h"
+#include "model/types.h"
 
 namespace rookdyke {
 
@@ -19,9 +19,9 @@
   uint32_t task = 0;
   uint64_t number = 0;
   Index machine = kNone;
-  uint64_t session = 0;
+  uint64_t epoch = 0;
   AttemptState state = AttemptState::proposed;
-  Cause cause = Cause::none;
+  ExitCause cause = ExitCause::none;
   bool stop = false;   // it is to leave its machine
   double grace_s = 0;  // with this much time to save
   double since = 0;    // proposed or taken over at
@@ -29,7 +29,7 @@
   bool proven = false;    // a replica that ran for long enough to show that it can
   bool shielded = false;  // its job had starved: not to be stopped for higher ranks
   // The report in whose answer `run` was last ordered; (0,0): never by this leader.
-  uint64_t ordered_session = 0, ordered_seq = 0;
+  uint64_t ordered_epoch = 0, ordered_seq = 0;
   bool direct = false;  // a `run` sent straight to its worker may still be executed
 };
 
@@ -46,15 +46,15 @@
   std::vector<bool> types;  // allowed, by type index; empty: any
   JobState state = JobState::open;
   uint64_t version = 0;
-  double at_s = 0;
-  double seen_at = 0;  // on our clock: when it was accepted, as far as times of day can tell
-  uint32_t per = 1;    // tasks a chunk, as the job's row has it
+  double timestamp_s = 0;
+  double seen_at = 0;       // on our clock: when it was accepted, as far as times of day can tell
+  uint32_t chunk_size = 1;  // tasks a chunk, as the job's row has it
   std::set<uint32_t> waiting;            // tasks without an attempt
   std::map<uint32_t, Attempt> attempts;  // at most one per task, ever (rule ran_twice)
   ledger::TaskSet done;
   uint32_t done_count = 0;
   uint32_t proposed = 0;                  // attempts whose start is not durable yet
-  uint64_t top = 0;                       // highest attempt number used
+  uint64_t highest_attempt = 0;           // highest attempt number used
   std::map<uint32_t, ChunkPlace> chunks;  // by first task; together they hold all tasks
   uint32_t in_flight_transactions = 0;  // transactions under way that name its row or its attempts
   bool has_start_promise = false;       // its class is promised a prompt start
@@ -65,22 +65,22 @@
   double urgency = 0;                   // as of this round, smallest first
   double missing_since = -1;            // a service's: a replica of it has last ended
   double last_start = -1;               // a task of it was last placed, or its turn was over
-  uint32_t turn_left = 0;               // a starved array's: tasks that it may still begin
-  double aborted_at = -1;
-  double not_before = 0;     // back-off after errors of its own
-  double retry_at = 0;       // after a refused transaction
-  double set_aside_at = 0;   // machines are looked for no earlier
-  std::set<Index> erred_on;  // machines where it failed since it last succeeded
+  uint32_t starvation_allowance = 0;    // a starved array's: tasks that it may still begin
+  double cancelled_at = -1;
+  double not_before = 0;            // back-off after errors of its own
+  double retry_at = 0;              // after a refused transaction
+  double reserve_retry_at = 0;      // machines are looked for no earlier
+  std::set<Index> failed_machines;  // machines where it failed since it last succeeded
   uint32_t errors = 0;
   uint32_t tasks() const { return spec.tasks; }
   PageKind page_kind() const {
-    if (service()) return PageKind::service;
-    return has_start_promise ? PageKind::promised : PageKind::usual;
+    if (is_service()) return PageKind::service;
+    return has_start_promise ? PageKind::prompt_start : PageKind::regular;
   }
-  bool gang() const { return spec.shape == Shape::gang; }
-  bool over() const { return state == JobState::done || state == JobState::aborted; }
-  bool stale() const { return stale_since >= 0; }
-  bool service() const { return spec.shape == Shape::service; }
+  bool is_gang() const { return spec.shape == JobShape::gang; }
+  bool is_finished() const { return state == JobState::done || state == JobState::cancelled; }
+  bool is_stale() const { return stale_since >= 0; }
+  bool is_service() const { return spec.shape == JobShape::service; }
   // The first task of the chunk that the task lies in.
   uint32_t chunk_of(uint32_t task) const { return std::prev(chunks.upper_bound(task))->first; }
   size_t chunk_bytes(uint32_t first) const {
--- a/src/core/effects.h
+++ b/src/model/scheduler_messages.h
@@ -1,26 +1,27 @@
 #pragma once
-// What the core asks of the daemon: answers to workers, direct commands, transactions, rentals.
+// What the scheduler asks of the daemon: answers to workers, direct commands, transactions,
+// rentals.
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "core/ledger.h"
-#include "core/types.h"
+#include "ledger/rows.h"
+#include "model/types.h"
 
 namespace rookdyke {
 
-struct ReportReply {
-  enum class Verdict : uint8_t { taken, old, deposed } verdict = Verdict::taken;
-  std::vector<Order> orders;
+struct HeartbeatReply {
+  enum class Verdict : uint8_t { accepted, outdated, deposed } verdict = Verdict::accepted;
+  std::vector<WorkerCommand> commands;
 };
 
 // Orders (none: only our token) sent straight to a worker, without waiting for its next report.
 struct DirectCommand {
   Index machine = kNone;
   std::string addr;
-  uint64_t session = 0;
-  std::vector<Order> orders;
+  uint64_t epoch = 0;
+  std::vector<WorkerCommand> commands;
 };
 
 struct PendingTransaction {
--- a/src/core/settings.h
+++ b/src/model/settings.h
@@ -1,5 +1,5 @@
 #pragma once
-// What steers the core: the platform's parameters and the operators' tuning (INI).
+// What steers the scheduler: the platform's parameters and the operators' tuning (INI).
 
 #include <algorithm>
 #include <cstddef>
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "model/types.h"
 
 namespace rookdyke {
 
@@ -23,14 +23,15 @@
   double boot_window_s = 0;  // 0: the type's own boot time
   double start_spare = 1;    // machines, while no forecast has come due
   // [fleet]
-  double lull_s = 15;
+  double scale_in_delay_s = 15;
   double drain_deadline_s = 600;
-  double rent_every_s = 0.35;
+  double rental_interval_s = 0.35;
 
-  double refusal_s = 15;     // how long a refused (type, zone, kind) is left alone
-  double boot_patience = 3;  // times boot_s until a machine that never came up is returned
-  double silence_s = 0;      // 0: derived from the report interval and the lease
-  double small_first = 0.3;  // seconds a job stands back for each machine-second it still needs
+  double capacity_retry_s = 15;    // how long a refused (type, zone, kind) is left alone
+  double boot_timeout_factor = 3;  // times boot_s until a machine that never came up is returned
+  double heartbeat_timeout_s = 0;  // 0: derived from the report interval and the lease
+  double short_job_preference_s =
+      0.3;  // seconds a job stands back for each machine-second it still needs
   // [rounds]
   double round_s = 0.2;      // shortest interval between rounds
   double round_max_s = 1.5;  // widest interval under load
@@ -54,8 +55,8 @@
   std::string label;
   std::vector<Objective> objectives;
   std::vector<std::string> zones;
-  std::vector<TeamInfo> teams;
-  double report_s = 3, lease_s = 20, gang_wait_s = 40, gang_peer_s = 6, cancel_s = 60;
+  std::vector<TeamQuota> teams;
+  double heartbeat_interval_s = 3, lease_s = 20, gang_wait_s = 40, gang_peer_s = 6, cancel_s = 60;
   double list_lag_s = 3;
   size_t value_bytes = 8192;
   size_t txn_ops = 8;
--- a/src/core/states.cpp
+++ b/src/model/states.cpp
@@ -1,4 +1,4 @@
-#include "core/states.h"
+#include "model/states.h"
 
 #include <array>
 
@@ -22,11 +22,11 @@
 bool allowed(JobState from, JobState to) {
   switch (from) {
     case JobState::open:
-      return to == JobState::closing || to == JobState::aborted;
+      return to == JobState::closing || to == JobState::cancelled;
     case JobState::closing:  // the closing transaction may still lose to an abort
-      return to == JobState::done || to == JobState::aborted || to == JobState::open;
+      return to == JobState::done || to == JobState::cancelled || to == JobState::open;
     case JobState::done:
-    case JobState::aborted:
+    case JobState::cancelled:
       return false;
   }
   return false;
@@ -37,12 +37,12 @@
     case AttemptState::proposed:
       return to == AttemptState::placed;
     case AttemptState::placed:
-    case AttemptState::pulling:
-    case AttemptState::gathering:
+    case AttemptState::fetching:
+    case AttemptState::gang_waiting:
     case AttemptState::running:
-    case AttemptState::saving:
+    case AttemptState::checkpointing:
       // A new leader meets an attempt in any phase, so all reported phases follow one another.
-      return to >= AttemptState::pulling;
+      return to >= AttemptState::fetching;
     case AttemptState::ended:
       return false;
   }
@@ -53,16 +53,16 @@
   switch (from) {
     case MachineState::booting:
       return to == MachineState::ready || to == MachineState::terminating ||
-             to == MachineState::gone;
+             to == MachineState::terminated;
     case MachineState::ready:
       return to == MachineState::draining || to == MachineState::terminating ||
-             to == MachineState::gone;
+             to == MachineState::terminated;
     case MachineState::draining:
       return to == MachineState::ready || to == MachineState::terminating ||
-             to == MachineState::gone;
+             to == MachineState::terminated;
     case MachineState::terminating:
-      return to == MachineState::gone;
-    case MachineState::gone:
+      return to == MachineState::terminated;
+    case MachineState::terminated:
       return false;
   }
   return false;
--- a/src/core/states.h
+++ b/src/model/states.h
@@ -1,5 +1,5 @@
 #pragma once
-// The named states of the core's state machines. Each has exactly one function that changes it
+// The named states of the scheduler's state machines. Each has exactly one function that changes it
 // (states.cpp); it refuses and logs a step that the machine does not allow.
 
 #include <cstdint>
@@ -8,14 +8,22 @@
 namespace rookdyke {
 
 // open -> done | aborted. Terminal states never change (rule went_back).
-enum class JobState : uint8_t { open, closing, done, aborted };
+enum class JobState : uint8_t { open, closing, done, cancelled };
 
 // A task's attempt.
 //   proposed  reserved in memory, its start is not durable yet
 //   placed    durable; the start may be ordered
 //   pulling, gathering, running, saving   as the worker reports
 //   ended     proven off its machine; its removal is not durable yet
-enum class AttemptState : uint8_t { proposed, placed, pulling, gathering, running, saving, ended };
+enum class AttemptState : uint8_t {
+  proposed,
+  placed,
+  fetching,
+  gang_waiting,
+  running,
+  checkpointing,
+  ended
+};
 
 // A machine.
 //   booting   rented, its worker has not reported yet
@@ -23,7 +31,7 @@
 //   draining  reports; takes nothing new and is returned once empty
 //   terminating to be returned as soon as the cloud takes the call
 //   gone      the cloud answered 200 to its return
-enum class MachineState : uint8_t { booting, ready, draining, terminating, gone };
+enum class MachineState : uint8_t { booting, ready, draining, terminating, terminated };
 
 std::string_view to_string(JobState s);
 std::string_view to_string(AttemptState s);
--- a/src/core/types.h
+++ b/src/model/types.h
@@ -1,5 +1,5 @@
 #pragma once
-// The vocabulary of the core. Names are mapped to dense indices at the door (Names) and stay
+// The vocabulary of the scheduler. Names are mapped to dense indices at the door (Names) and stay
 // indices inside; only logs and messages turn them back into text.
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 inline constexpr Index kNone = UINT32_MAX;
 
 // A table of names; an index is never reused within a process.
-class Names {
+class NameTable {
  public:
   Index intern(const std::string& name) {
     auto [it, fresh] = ids_.try_emplace(name, static_cast<Index>(names_.size()));
@@ -36,94 +36,106 @@
 
 // array: independent tasks; gang: all run at the same time or none does; service: replicas that run
 // until the job is cancelled.
-enum class Shape : uint8_t { array, gang, service };
-enum class Rank : uint8_t { idle, standard, urgent, critical };
+enum class JobShape : uint8_t { array, gang, service };
+enum class Priority : uint8_t { idle, standard, urgent, critical };
 
-struct Amounts {
-  double cpus = 0, gpus = 0, mem = 0;
+struct Resources {
+  double cpus = 0, gpus = 0, memory_gb = 0;
 
-  Amounts& operator+=(const Amounts& o) {
-    cpus += o.cpus, gpus += o.gpus, mem += o.mem;
+  Resources& operator+=(const Resources& o) {
+    cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
     return *this;
   }
-  Amounts& operator-=(const Amounts& o) {
-    cpus -= o.cpus, gpus -= o.gpus, mem -= o.mem;
+  Resources& operator-=(const Resources& o) {
+    cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
     return *this;
   }
-  Amounts times(double k) const { return {cpus * k, gpus * k, mem * k}; }
+  Resources scaled(double k) const { return {cpus * k, gpus * k, memory_gb * k}; }
   // The largest ratio over the resources that a machine of that size has.
-  double share_of(const Amounts& size) const {
+  double dominant_share(const Resources& size) const {
     double r = 0;
     if (size.cpus > 0) r = std::max(r, cpus / size.cpus);
     if (size.gpus > 0) r = std::max(r, gpus / size.gpus);
-    if (size.mem > 0) r = std::max(r, mem / size.mem);
+    if (size.memory_gb > 0) r = std::max(r, memory_gb / size.memory_gb);
     return r;
   }
   // The slack absorbs the rounding of sums of decimal amounts.
-  bool fits(const Amounts& room) const {
+  bool fits_in(const Resources& room) const {
     constexpr double kSlack = 1e-6;
-    return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack && mem <= room.mem + kSlack;
+    return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack &&
+           memory_gb <= room.memory_gb + kSlack;
   }
 };
 
 // A job as its user described it, in text; what the ledger stores.
 struct JobSpec {
   std::string id, job_class, team, image, zone;  // zone empty: any
-  Shape shape = Shape::array;
-  Rank rank = Rank::standard;
+  JobShape shape = JobShape::array;
+  Priority priority = Priority::standard;
   uint32_t tasks = 1;
-  Amounts each;
+  Resources per_task;
   double image_gb = 0;
   std::vector<std::string> types;  // empty: any
-  bool one_zone = false, scatter = false, spot = false;
-  double estimate_s = 0, checkpoint_s = 0, save_s = 0, due_s = 0;
+  bool single_zone = false, spread_zones = false, spot = false;
+  double expected_runtime_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0,
+         deadline_s = 0;
 };
 
-struct TypeInfo {
+struct MachineType {
   std::string name;
-  Amounts size;
+  Resources size;
   double cache_gb = 0, fetch_gb_per_s = 1, price = 0, spot_price = 0, boot_s = 0;
   std::vector<std::string> zones;
 
-  double fetch_s(double gb) const { return gb / std::max(0.01, fetch_gb_per_s); }
+  double fetch_time_s(double gb) const { return gb / std::max(0.01, fetch_gb_per_s); }
 };
 
 // Whether a type of that name is there: a second one would shift the indices of all that follow.
-inline bool has_type(const std::vector<TypeInfo>& types, const std::string& name) {
+inline bool has_type(const std::vector<MachineType>& types, const std::string& name) {
   return std::any_of(types.begin(), types.end(), [&](const auto& t) { return t.name == name; });
 }
 
-struct TeamInfo {
+struct TeamQuota {
   std::string name;
   double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // 0: no guarantee, no limit
 };
 
 // Why a report's task ended.
-enum class Cause : uint8_t { none, done, halted, peers, alone, error, no_room, in_use, no_such };
+enum class ExitCause : uint8_t {
+  none,
+  done,
+  stopped,
+  gang_peer_lost,
+  gang_timeout,
+  error,
+  insufficient_resources,
+  already_present,
+  unknown_task
+};
 
 // What a worker says of a task.
-enum class Seen : uint8_t { pulling, gathering, running, saving, exited };
+enum class TaskPhase : uint8_t { fetching, gang_waiting, running, checkpointing, exited };
 
-struct TaskReport {
+struct TaskStatus {
   std::string job;
   uint32_t task = 0;
   uint64_t attempt = 0;
-  Seen seen = Seen::pulling;
-  Cause cause = Cause::none;
+  TaskPhase phase = TaskPhase::fetching;
+  ExitCause cause = ExitCause::none;
   bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine, addr, type, zone;
   bool spot = false;
-  uint64_t session = 0, seq = 0, token = 0;
+  uint64_t epoch = 0, seq = 0, fencing_token = 0;
   double notice_s = -1;  // negative: none
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
-enum class Verb : uint8_t { run, stop, clear };
-struct Order {
-  Verb verb = Verb::run;
+enum class CommandKind : uint8_t { start, stop, forget };
+struct WorkerCommand {
+  CommandKind verb = CommandKind::start;
   std::string job;
   uint32_t task = 0;
   uint64_t attempt = 0;
--- a/src/net/budget.h
+++ b/src/net/rate_limiter.h
@@ -10,11 +10,11 @@
 
 namespace rookdyke::net {
 
-class Budget {
+class RateLimiter {
  public:
   using Clock = std::chrono::steady_clock;
 
-  explicit Budget(double per_s) : total_(per_s), rate_(per_s) {}
+  explicit RateLimiter(double per_s) : total_(per_s), rate_(per_s) {}
 
   // The node's share changes with its role: the leader has most.
   void set_share(double share) {
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -332,9 +332,9 @@
     {
       std::lock_guard lock(mutex_);
       for (auto it = idle_.begin(); it != idle_.end();) {
-        const bool over = now - it->second.idle_since > std::chrono::milliseconds(kIdleMs);
-        if (over) silent.push_back(std::move(it->second.stream));
-        it = over ? idle_.erase(it) : std::next(it);
+        const bool finished = now - it->second.idle_since > std::chrono::milliseconds(kIdleMs);
+        if (finished) silent.push_back(std::move(it->second.stream));
+        it = finished ? idle_.erase(it) : std::next(it);
       }
     }
     for (auto& s : silent) close(s);
--- a/src/core/fleet.cpp
+++ b/src/scheduler/fleet.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/core.h"
+#include "scheduler/scheduler.h"
 
 namespace rookdyke {
 
@@ -37,51 +37,51 @@
 
 }  // namespace
 
-void Core::set_prices(const std::vector<TypeInfo>& types) {
-  for (const TypeInfo& t : types)
+void Scheduler::set_prices(const std::vector<MachineType>& types) {
+  for (const MachineType& t : types)
     if (const Index i = type_names_.find(t.name); i != kNone) {
       types_[i].price = t.price;
       types_[i].spot_price = t.spot_price;
     }
 }
 
-double Core::silence_limit() const {
-  if (settings_.tuning.silence_s > 0) return settings_.tuning.silence_s;
-  return std::max(3 * settings_.report_s, std::min(settings_.lease_s / 2, 12.0));
+double Scheduler::silence_limit() const {
+  if (settings_.tuning.heartbeat_timeout_s > 0) return settings_.tuning.heartbeat_timeout_s;
+  return std::max(3 * settings_.heartbeat_interval_s, std::min(settings_.lease_s / 2, 12.0));
 }
 
 // How long machines that fell silent together are waited for: at most for as long as replacing them
 // would take, so that a wait in vain costs no more than it could have saved; and for their lease
 // and half of it again, since after it they come back empty but up. Those that are dead are not
 // listed any more by then.
-double Core::patience() const {
+double Scheduler::patience() const {
   double boot = 0;
-  for (const TypeInfo& t : types_) boot = std::max(boot, t.boot_s);
+  for (const MachineType& t : types_) boot = std::max(boot, t.boot_s);
   return std::max({silence_limit(), 1.5 * settings_.lease_s, kReplace * boot});
 }
 
 // A cancelled job's tasks must be gone in cancel_s: their machine is not waited for.
-bool Core::holds_cancelled(const Machine& m) const {
+bool Scheduler::holds_cancelled(const Machine& m) const {
   return std::any_of(m.tasks.begin(), m.tasks.end(),
-                     [&](const auto& t) { return jobs_[t.first]->state == JobState::aborted; });
+                     [&](const auto& t) { return jobs_[t.first]->state == JobState::cancelled; });
 }
 
 // Whether tasks that were cancelled a good while ago may still be there. A machine that has not
 // come to a new leader yet is given time to: what the ledger says of it may be long past.
-bool Core::holds_overdue(const Machine& m, double now) const {
+bool Scheduler::holds_overdue(const Machine& m, double now) const {
   const bool unregistered_long = now - started_ > kTakeoverGrace;
   return std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& t) {
     const Job& job = *jobs_[t.first];
-    if (job.state != JobState::aborted) return false;
-    const double age = now - job.aborted_at;
+    if (job.state != JobState::cancelled) return false;
+    const double age = now - job.cancelled_at;
     return age > kCancelPatience * settings_.cancel_s &&
            (m.registered || (unregistered_long && age < 2 * settings_.cancel_s));
   });
 }
 
-void Core::watch_cancelled(double now) {
+void Scheduler::release_cancelled_work(double now) {
   for (const auto& m : machines_) {
-    if (m->state == MachineState::terminating || m->state == MachineState::gone) continue;
+    if (m->state == MachineState::terminating || m->state == MachineState::terminated) continue;
     if (holds_overdue(*m, now))
       terminate(*m, "holds tasks of a cancelled job");
     else if (m->unreachable() && holds_cancelled(*m))
@@ -90,27 +90,27 @@
 }
 
 // How long this machine may be silent until it is given up.
-double Core::waits_for(const Machine& m) const {
-  return many_silent_ && !holds_cancelled(m) ? patience() : silence_limit();
+double Scheduler::waits_for(const Machine& m) const {
+  return mass_silence_ && !holds_cancelled(m) ? patience() : silence_limit();
 }
 
 // And how long one that a predecessor had up, until a new leader hears it.
-double Core::registration_limit(const Machine& m) const {
+double Scheduler::registration_limit(const Machine& m) const {
   return std::max(waits_for(m), silence_limit() + kTakeoverGrace);
 }
 
 // The type whose machines a job's demand is counted for: the cheapest share of a machine.
-Index Core::home(const Job& job) const {
+Index Scheduler::demand_type(const Job& job) const {
   Index best = kNone;
   double best_price = 0;
   for (Index t = 0; t < types_.size(); ++t) {
     if (!job.types.empty() && !job.types[t]) continue;
-    if (!job.spec.each.fits(types_[t].size)) continue;
+    if (!job.spec.per_task.fits_in(types_[t].size)) continue;
     const auto& zones = types_[t].zones;
     if (!job.spec.zone.empty() &&
         std::find(zones.begin(), zones.end(), job.spec.zone) == zones.end())
       continue;
-    const double price = job.spec.each.share_of(types_[t].size) *
+    const double price = job.spec.per_task.dominant_share(types_[t].size) *
                          (job.spec.spot ? types_[t].spot_price : types_[t].price);
     if (best == kNone || price < best_price) {
       best = t;
@@ -122,8 +122,8 @@
 
 // The zones that a job's demand is bound to. The target counts machines wherever they are, and was
 // met by machines in a zone where a bound or scattered job could not run: it waited for ever.
-void Core::bind_demand(const Job& job, Index type, const Amounts& demand,
-                       const MachineCounts& machines) {
+void Scheduler::add_zone_demand(const Job& job, Index type, const Resources& demand,
+                                const MachineCounts& machines) {
   auto& bound = type_state_[type].bound;
   const auto add = [&](Index zone) {
     if (zone == kNone) return;
@@ -133,7 +133,7 @@
   // Of those that could run elsewhere too, the largest: the others have their turn after it.
   const auto reserve = [&](Index zone, double share) {
     if (zone == kNone) return;  // of a predecessor's machine that no list has told of yet
-    const double n = machines_for(type, demand.times(share));
+    const double n = machines_for(type, demand.scaled(share));
     TypeState::Bound& b = bound[zone];
     b.largest = std::max(b.largest, n);
     if (!job.spec.spot) b.largest_dear = std::max(b.largest_dear, n);
@@ -141,7 +141,7 @@
   const auto& zones = types_[type].zones;
   if (job.zone != kNone) return add(job.zone);
   if (job.waiting.empty()) return;
-  if (job.spec.one_zone) {
+  if (job.spec.single_zone) {
     // It goes on where its tasks are, or else where most machines are.
     for (const auto& [t, a] : job.attempts)
       if (a.state != AttemptState::ended) return reserve(machines_[a.machine]->zone, 1);
@@ -155,84 +155,84 @@
       most = it->second;
       best = zone;
     }
-    return reserve(best, job.gang() ? 1 : 1.0 / job.tasks());
+    return reserve(best, job.is_gang() ? 1 : 1.0 / job.tasks());
   }
-  if (!job.spec.scatter || job.tasks() < 2 || zones.size() < 2) return;
+  if (!job.spec.spread_zones || job.tasks() < 2 || zones.size() < 2) return;
   // At most half of it, rounded up, in one zone: the other half in a second one.
   const double half = std::floor(job.tasks() / 2.0) / job.tasks();
   reserve(zone_names_.find(zones[0]), half);
   reserve(zone_names_.find(zones[1]), half);
 }
 
-Core::MachineCounts Core::count_machines() const {
-  MachineCounts counts;
+Scheduler::MachineCounts Scheduler::count_machines() const {
+  MachineCounts counts_as_capacity;
   for (const auto& m : machines_)
-    if (m->type != kNone && m->zone != kNone && m->state != MachineState::gone)
-      ++counts[{m->type, m->zone}];
-  return counts;
+    if (m->type != kNone && m->zone != kNone && m->state != MachineState::terminated)
+      ++counts_as_capacity[{m->type, m->zone}];
+  return counts_as_capacity;
 }
 
-double Core::floor_of(Index type, const TypeState::Bound& b, bool ordinary) const {
+double Scheduler::floor_of(Index type, const TypeState::Bound& b, bool ordinary) const {
   return ordinary ? std::max(b.largest_dear, machines_for(type, b.ordinary))
                   : std::max(b.largest, machines_for(type, b.all));
 }
 
-void Core::sample_demand(double now) {
+void Scheduler::sample_demand(double now) {
   for (TypeState& t : type_state_) {
     t.demand = t.ordinary = {};
     t.bound.clear();
   }
-  std::vector<Amounts> asked(team_names_.size());
+  std::vector<Resources> asked(team_names_.size());
   const MachineCounts machines = count_machines();
   for (const auto& job : jobs_) {
-    if (!job || job->over()) continue;
-    const Index t = home(*job);
+    if (!job || job->is_finished()) continue;
+    const Index t = demand_type(*job);
     if (t == kNone) continue;
     double n = job->tasks() - job->done_count;
     // A job that fails everywhere is tried again where there is room; its many tasks ask for none.
-    if (faulty(*job) && !job->gang()) n = std::min(n, 1.0);
-    Amounts d = job->spec.each.times(n);
+    if (faulty(*job) && !job->is_gang()) n = std::min(n, 1.0);
+    Resources d = job->spec.per_task.scaled(n);
     // What a team's limit keeps from running is no demand for machines.
-    for (const TeamInfo& team : settings_.teams) {
+    for (const TeamQuota& team : settings_.teams) {
       if (team.name != job->spec.team) continue;
-      Amounts& sum = asked[job->team];
+      Resources& sum = asked[job->team];
       double share = 1;
       if (team.cpus_max > 0 && d.cpus > 0)
         share = std::min(share, std::max(0.0, team.cpus_max - sum.cpus) / d.cpus);
       if (team.gpus_max > 0 && d.gpus > 0)
         share = std::min(share, std::max(0.0, team.gpus_max - sum.gpus) / d.gpus);
-      d = d.times(share);
+      d = d.scaled(share);
       sum += d;
     }
     type_state_[t].demand += d;
-    bind_demand(*job, t, d, machines);
+    add_zone_demand(*job, t, d, machines);
     if (!job->spec.spot) type_state_[t].ordinary += d;
   }
   for (Index t = 0; t < types_.size(); ++t) {
     TypeState& s = type_state_[t];
     s.forecast.sample(now, s.demand);
     s.target = s.forecast.target(types_[t].size);
-    const Amounts spare = s.forecast.spare();
+    const Resources spare = s.forecast.spare();
     spdlog::debug(
         "type {}: demand {:.0f} cpus {:.0f} gpus {:.0f} gb, ahead {:.0f}/{:.0f}/{:.0f}, "
         "spare {:.0f}/{:.0f}/{:.0f}, target {:.0f}",
-        types_[t].name, s.demand.cpus, s.demand.gpus, s.demand.mem, s.forecast.ahead().cpus,
-        s.forecast.ahead().gpus, s.forecast.ahead().mem, spare.cpus, spare.gpus, spare.mem,
-        s.target);
+        types_[t].name, s.demand.cpus, s.demand.gpus, s.demand.memory_gb, s.forecast.ahead().cpus,
+        s.forecast.ahead().gpus, s.forecast.ahead().memory_gb, spare.cpus, spare.gpus,
+        spare.memory_gb, s.target);
   }
 }
 
 // A machine that this leader rented has come up.
-void Core::record_boot(const Machine& m, double now) {
+void Scheduler::record_boot(const Machine& m, double now) {
   if (m.type == kNone || m.rented_at <= started_) return;
   type_state_[m.type].boots.record(now, now - m.rented_at);
 }
 
-const BootStatistics& Core::boots_of(const Machine& m) const {
+const BootStatistics& Scheduler::boots_of(const Machine& m) const {
   return m.type == kNone ? unknown_type_boots_ : type_state_[m.type].boots;
 }
 
-void Core::update_boots(double now) {
+void Scheduler::update_boots(double now) {
   std::vector<size_t> overdue(types_.size());
   for (const auto& m : machines_)
     if (m->state == MachineState::booting && !m->was_up && m->type != kNone &&
@@ -241,35 +241,37 @@
   for (Index t = 0; t < types_.size(); ++t) type_state_[t].boots.update(now, overdue[t]);
 }
 
-bool Core::counts(const Machine& m, double now) const {
+bool Scheduler::counts_as_capacity(const Machine& m, double now) const {
   if (m.cordoned || m.reclaim_at >= 0 || m.returning || m.unreachable()) return false;
   if (m.state == MachineState::booting) {
     // Up under a predecessor and not registered yet: no late boot, however long ago it was rented.
     // Taken for one, it had a new leader rent a second fleet (docs/incidents/inc-6144.md).
-    if (m.was_up) return now - m.last_report <= registration_limit(m);
+    if (m.was_up) return now - m.last_heartbeat <= registration_limit(m);
     // Late ones are replaced, but not while nearly all are late: the cloud would be as slow with
     // those that took their place, and each would be rented twice.
     const BootStatistics& boots = boots_of(m);
     return now - m.rented_at <= (boots.most_are_late() ? boots.lost_after() : boots.late_after());
   }
   if (m.state != MachineState::ready) return false;
-  return now - m.last_report <= (many_silent_ ? patience() : silence_limit());
+  return now - m.last_heartbeat <= (mass_silence_ ? patience() : silence_limit());
 }
 
-void Core::drain(Machine& m, double now, const char* why) {
+void Scheduler::drain(Machine& m, double now, const char* why) {
   if (m.state != MachineState::ready) return;
   if (set_state(m, MachineState::draining, why)) m.draining_since = now;
 }
 
-void Core::terminate(Machine& m, const char* why) { set_state(m, MachineState::terminating, why); }
+void Scheduler::terminate(Machine& m, const char* why) {
+  set_state(m, MachineState::terminating, why);
+}
 
-double Core::machines_for(Index type, const Amounts& demand) const {
-  const Amounts size = types_[type].size.times(settings_.tuning.safe_fraction);
-  return std::ceil(demand.share_of(size) - 1e-9);
+double Scheduler::machines_for(Index type, const Resources& demand) const {
+  const Resources size = types_[type].size.scaled(settings_.tuning.safe_fraction);
+  return std::ceil(demand.dominant_share(size) - 1e-9);
 }
 
 // A machine on its way out is the fastest machine to be had.
-bool Core::reuse_draining(Index ti, Index zone, bool ordinary) {
+bool Scheduler::reuse_draining(Index ti, Index zone, bool ordinary) {
   for (const auto& m : machines_)
     if (m->type == ti && m->zone == zone && m->state == MachineState::draining && !m->cordoned &&
         m->reclaim_at < 0 && !(ordinary && m->spot))
@@ -278,30 +280,30 @@
 }
 
 // Asks for machines; false: that zone has lately had none of the kind.
-bool Core::rent(Index ti, Index zone, bool spot, double count, double now) {
+bool Scheduler::rent(Index ti, Index zone, bool spot, double count, double now) {
   const auto& refused = type_state_[ti].refused_until;
   if (auto r = refused.find({zone, spot}); r != refused.end() && now < r->second) return false;
   RentalRequest h;
   // Invariant 4: the token makes the name unique among leaders, the number within this one.
-  h.name = "h-" + std::to_string(token_) + "-" + std::to_string(++next_rental_number_);
+  h.name = "h-" + std::to_string(fencing_token_) + "-" + std::to_string(++next_rental_number_);
   h.type = types_[ti].name;
   h.zone = zone_names_.name(zone);
   h.spot = spot;
   h.count = static_cast<int>(std::clamp(count, 1.0, kMostHired));
   rental_requests_.push_back(h);
-  rent_at_ = now + settings_.tuning.rent_every_s;
+  rent_at_ = now + settings_.tuning.rental_interval_s;
   return true;
 }
 
-void Core::plan_type(Index ti, double now) {
+void Scheduler::plan_type(Index ti, double now) {
   TypeState& s = type_state_[ti];
-  const TypeInfo& type = types_[ti];
+  const MachineType& type = types_[ti];
   double total = 0, ordinary = 0;
   std::map<Index, double> per_zone, ordinary_in;
   for (const std::string& z : type.zones) per_zone[zone_names_.find(z)] = 0;
   for (const auto& mp : machines_) {
     const Machine& m = *mp;
-    if (m.type != ti || !counts(m, now)) continue;
+    if (m.type != ti || !counts_as_capacity(m, now)) continue;
     ++total;
     if (!m.spot) {
       ++ordinary;
@@ -349,7 +351,8 @@
     if (set_state(m, MachineState::ready, "needed again")) --gap;
   }
   if (gap <= 0 || asked > 0 || now < rent_at_) return;
-  const bool spot_demand = s.demand.share_of(type.size) > s.ordinary.share_of(type.size) + 1e-9;
+  const bool spot_demand =
+      s.demand.dominant_share(type.size) > s.ordinary.dominant_share(type.size) + 1e-9;
   auto pick_zone = [&](bool spot) {
     Index best = kNone;
     for (const auto& [z, n] : per_zone) {
@@ -377,25 +380,25 @@
   rent(ti, zone, spot, count, now);
 }
 
-void Core::plan_fleet(double now) {
+void Scheduler::plan_fleet(double now) {
   for (Index t = 0; t < types_.size(); ++t) plan_type(t, now);
   for (Index t = 0; t < types_.size(); ++t) {
     TypeState& s = type_state_[t];
-    if (s.above_since < 0 || now - s.above_since < settings_.tuning.lull_s) continue;
+    if (s.above_since < 0 || now - s.above_since < settings_.tuning.scale_in_delay_s) continue;
     drain_surplus(t, now);
     s.above_since += kDrainEvery;
   }
 }
 
 // After the lull, the emptiest machines are drained.
-void Core::drain_surplus(Index t, double now) {
+void Scheduler::drain_surplus(Index t, double now) {
   TypeState& s = type_state_[t];
   const double need = machines_for(t, s.ordinary);
   std::vector<std::pair<double, Index>> emptiest;
   size_t total = 0, ordinary = 0;
   std::map<Index, double> per_zone, ordinary_in;
   for (const auto& m : machines_) {
-    if (m->type != t || !counts(*m, now)) continue;
+    if (m->type != t || !counts_as_capacity(*m, now)) continue;
     ++total;
     ordinary += !m->spot;
     ++per_zone[m->zone];
@@ -403,7 +406,8 @@
     // Of equally empty ones, the dearer goes first.
     if (m->state != MachineState::ready) continue;
     const double keep = holds_replicas(*m) ? kKeepReplicas : 0;
-    emptiest.emplace_back(m->used.share_of(types_[t].size) + (m->spot ? 1e-3 : 0) + keep, m->index);
+    emptiest.emplace_back(m->used.dominant_share(types_[t].size) + (m->spot ? 1e-3 : 0) + keep,
+                          m->index);
   }
   // Each replica that moves is missed meanwhile: machines with some go one at a time.
   bool replicas_move = std::any_of(machines_.begin(), machines_.end(), [this](const auto& m) {
@@ -433,30 +437,31 @@
 
 // Many machines that fall silent together are cut off rather than dead: they come back, with
 // images and, within their lease, with their work, sooner than others could be booted.
-bool Core::many_silent(double now) const {
+bool Scheduler::is_mass_silence(double now) const {
   size_t registered = 0, missing = 0;
   for (const auto& m : machines_) {
     // Those of a predecessor that have not come yet count too.
     if (!(m->registered || (m->was_up && m->state == MachineState::booting)) ||
-        m->state == MachineState::gone || m->state == MachineState::terminating ||
+        m->state == MachineState::terminated || m->state == MachineState::terminating ||
         m->reclaim_at >= 0)
       continue;
     ++registered;
-    if (now - m->last_report > 1.6 * settings_.report_s && m->unlisted_at < 0) ++missing;
+    if (now - m->last_heartbeat > 1.6 * settings_.heartbeat_interval_s && m->unlisted_at < 0)
+      ++missing;
   }
   return missing >= 3 &&
          static_cast<double>(missing) >= kManyShare * static_cast<double>(registered);
 }
 
-void Core::watch_machines(double now) {
+void Scheduler::check_machines(double now) {
   // They come back one by one: the last of a cut are waited for as the first were.
-  if (many_silent(now)) many_silent_until_ = now + kTakeoverGrace;
-  many_silent_ = now < many_silent_until_;
+  if (is_mass_silence(now)) mass_silence_until_ = now + kTakeoverGrace;
+  mass_silence_ = now < mass_silence_until_;
   update_boots(now);
   // Many machines that acknowledge no command at once are our own slowness.
   size_t registered = 0, unreachable_machines = 0;
   for (const auto& m : machines_)
-    if (m->registered && m->state != MachineState::gone) {
+    if (m->registered && m->state != MachineState::terminated) {
       ++registered;
       unreachable_machines += m->unreachable();
     }
@@ -464,12 +469,12 @@
                                                      kOursShare * static_cast<double>(registered);
   for (const auto& mp : machines_) {
     Machine& m = *mp;
-    const double silent = now - m.last_report;
+    const double silent = now - m.last_heartbeat;
     if (!m.unreachable())
       m.unacknowledged_since = -1;
     else if (m.unacknowledged_since < 0)
       m.unacknowledged_since = now;
-    if (m.state != MachineState::terminating && m.state != MachineState::gone) {
+    if (m.state != MachineState::terminating && m.state != MachineState::terminated) {
       if (m.unacknowledged_since >= 0 && !ours &&
           (now - m.unacknowledged_since > kUnreachableFor || holds_cancelled(m))) {
         terminate(m, "takes up nothing of what it is answered");
@@ -483,7 +488,7 @@
     switch (m.state) {
       case MachineState::booting: {
         // One that was up under a predecessor has work on it, and is waited for as such.
-        if (m.reports_with_older_token >= 3 && now - m.older_token_since > kUnreachableFor &&
+        if (m.heartbeats_with_older_token >= 3 && now - m.older_token_since > kUnreachableFor &&
             (!m.was_up || holds_cancelled(m))) {
           terminate(m, "takes up none of our answers");
         } else if (m.was_up) {
@@ -498,12 +503,13 @@
       }
       case MachineState::ready:
       case MachineState::draining:
-        if (m.reclaim_at >= 0 && now > m.reclaim_at + 1 && silent > 1.5 * settings_.report_s) {
+        if (m.reclaim_at >= 0 && now > m.reclaim_at + 1 &&
+            silent > 1.5 * settings_.heartbeat_interval_s) {
           terminate(m, "taken back");
         } else if (silent > waits_for(m)) {
           // Silence proves nothing; the cloud's answer to returning it does (invariant 3).
           terminate(m, "silent");
-        } else if (m.unlisted_at >= 0 && silent > 2 * settings_.report_s) {
+        } else if (m.unlisted_at >= 0 && silent > 2 * settings_.heartbeat_interval_s) {
           terminate(m, "silent and not listed any more");
         } else if (m.state == MachineState::draining) {
           if (m.tasks.empty() && !m.has_unknown_tasks) {
@@ -513,27 +519,28 @@
           } else if (now - m.draining_since > settings_.tuning.drain_deadline_s) {
             for (const auto& [j, t] : m.tasks) {
               Job& job = *jobs_[j];
-              stop_with_gang(job, job.attempts.at(t), job.spec.save_s + kGraceMargin);
+              stop_with_gang(job, job.attempts.at(t),
+                             job.spec.checkpoint_duration_s + kGraceMargin);
             }
           }
         }
         break;
       case MachineState::terminating:
-      case MachineState::gone:
+      case MachineState::terminated:
         break;
     }
   }
 }
 
-std::optional<RentalRequest> Core::next_rental_request(double now) {
-  if (lost_ || rental_in_flight_ || rental_requests_.empty() || now < rent_retry_at_)
+std::optional<RentalRequest> Scheduler::next_rental_request(double now) {
+  if (has_lost_leadership_ || rental_in_flight_ || rental_requests_.empty() || now < rent_retry_at_)
     return std::nullopt;
   rental_in_flight_ = true;
   return rental_requests_.front();
 }
 
-void Core::on_rental_result(const RentalRequest& request, CloudOutcome outcome,
-                            const std::vector<std::string>& names, double now) {
+void Scheduler::on_rental_result(const RentalRequest& request, CloudOutcome outcome,
+                                 const std::vector<std::string>& names, double now) {
   rental_in_flight_ = false;
   if (rental_requests_.empty() || rental_requests_.front().name != request.name) return;
   const Index t = type_names_.find(request.type);
@@ -553,26 +560,26 @@
                    request.spot ? "spot" : "ordinary", request.type, request.zone);
       rental_requests_.pop_front();
       if (names.size() < static_cast<size_t>(request.count) && t != kNone)
-        type_state_[t].refused_until[{z, request.spot}] = now + settings_.tuning.refusal_s;
+        type_state_[t].refused_until[{z, request.spot}] = now + settings_.tuning.capacity_retry_s;
       break;
     case CloudOutcome::no_capacity:
       spdlog::info("no {} {} machines in {}", request.spot ? "spot" : "ordinary", request.type,
                    request.zone);
       rental_requests_.pop_front();
       if (t != kNone)
-        type_state_[t].refused_until[{z, request.spot}] = now + settings_.tuning.refusal_s;
+        type_state_[t].refused_until[{z, request.spot}] = now + settings_.tuning.capacity_retry_s;
       break;
     case CloudOutcome::refused:
       // Not executed. A copy of it may be under way from an earlier try, so it keeps its name.
     case CloudOutcome::unknown:
-      rent_retry_at_ = now + settings_.tuning.rent_every_s;
+      rent_retry_at_ = now + settings_.tuning.rental_interval_s;
       break;
   }
 }
 
-std::vector<std::string> Core::next_return(double now, bool cancelled_only) {
+std::vector<std::string> Scheduler::next_return(double now, bool cancelled_only) {
   std::vector<std::string> out;
-  if (lost_) return out;
+  if (has_lost_leadership_) return out;
   for (const auto& m : machines_) {
     if (m->state != MachineState::terminating || m->returning || now < m->return_after) continue;
     if (cancelled_only && !holds_cancelled(*m)) continue;
@@ -583,14 +590,14 @@
   return out;
 }
 
-void Core::drop_machine(Machine& m, double now, const char* why) {
-  if (!set_state(m, MachineState::gone, why)) return;
+void Scheduler::drop_machine(Machine& m, double now, const char* why) {
+  if (!set_state(m, MachineState::terminated, why)) return;
   const auto here = m.tasks;
-  for (const auto& [j, t] : here) end_attempt(*jobs_[j], t, Cause::none, now, why);
+  for (const auto& [j, t] : here) end_attempt(*jobs_[j], t, ExitCause::none, now, why);
   rented_list_.mark_changed(m.index);
 }
 
-void Core::on_return(const std::vector<std::string>& names, CloudOutcome outcome, double now) {
+void Scheduler::on_return(const std::vector<std::string>& names, CloudOutcome outcome, double now) {
   for (const std::string& n : names) {
     const Index i = machine_names_.find(n);
     if (i == kNone) continue;
@@ -603,12 +610,12 @@
   }
 }
 
-void Core::on_machine_list(const std::vector<ListedMachine>& list, double asked, double now) {
+void Scheduler::on_machine_list(const std::vector<ListedMachine>& list, double asked, double now) {
   std::set<Index> seen;
   for (const ListedMachine& l : list) {
     Machine& m = machine(l.name, now);
     seen.insert(m.index);
-    if (m.state == MachineState::gone) continue;  // the list lags
+    if (m.state == MachineState::terminated) continue;  // the list lags
     m.listed = true;
     m.unlisted_at = -1;
     if (m.type == kNone) {
@@ -621,14 +628,14 @@
     if (!m.registered) m.rented_at = std::min(m.rented_at, now - l.age_s);
     if (l.state == ListedMachine::State::running && !m.registered && !m.was_up) {
       m.was_up = true;
-      m.last_report = now;  // from here on its silence means something, not since it was rented
+      m.last_heartbeat = now;  // from here on its silence means something, not since it was rented
     }
     if (l.state == ListedMachine::State::failed && m.state != MachineState::terminating)
       terminate(m, "failed");
   }
   for (const auto& mp : machines_) {
     Machine& m = *mp;
-    if (m.state == MachineState::gone || seen.count(m.index)) continue;
+    if (m.state == MachineState::terminated || seen.count(m.index)) continue;
     // A list may be older than the one before it: an absence counts only when the machine was
     // listed before, or is older than any list can lag.
     if (m.listed || asked - m.rented_at > 2 * settings_.list_lag_s + 1) {
@@ -637,19 +644,19 @@
   }
 }
 
-std::optional<PendingTransaction> Core::fleet_transaction(double now) {
+std::optional<PendingTransaction> Scheduler::fleet_transaction(double now) {
   if (!rented_list_.can_write(now)) return std::nullopt;
   const auto listed = [this](Index i) -> std::optional<RentedMachine> {
     if (i >= machines_.size()) return std::nullopt;
     const Machine& m = *machines_[i];
-    if (m.state == MachineState::gone || m.type == kNone) return std::nullopt;
+    if (m.state == MachineState::terminated || m.type == kNone) return std::nullopt;
     return RentedMachine{m.name, m.type, m.zone, m.spot};
   };
   const uint64_t id = ++next_txn_;
   InFlightTransaction f;
   f.kind = InFlightTransaction::Kind::fleet;
-  f.txn.mark = mark_of(id);
-  f.txn.conditions = {{ledger::kLeaderKey, token_}};
+  f.txn.transaction_id = transaction_id_of(id);
+  f.txn.conditions = {{ledger::kLeaderKey, fencing_token_}};
   rented_list_.write(now, settings_.lasting_txn_ops(), listed, type_names_, zone_names_, f.txn);
   PendingTransaction p{id, f.txn, false};
   in_flight_transactions_[id] = std::move(f);
@@ -657,8 +664,9 @@
 }
 
 // The rented list as a predecessor left it.
-void Core::load_fleet(const Mirror& mirror, double now) {
-  for (const RentedMachine& rented : rented_list_.load(mirror.fleet(), type_names_, zone_names_)) {
+void Scheduler::load_fleet(const LedgerCache& ledger_cache, double now) {
+  for (const RentedMachine& rented :
+       rented_list_.load(ledger_cache.fleet(), type_names_, zone_names_)) {
     Machine& m = machine(rented.name, now);
     m.type = rented.type;
     m.zone = rented.zone;
--- a/src/core/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <tuple>
 
-#include "core/core.h"
+#include "scheduler/scheduler.h"
 
 namespace rookdyke {
 
@@ -66,17 +66,18 @@
 }  // namespace
 
 // What of each team's unfinished jobs, oldest first, fits within its guarantee.
-void Core::find_guaranteed() {
-  for (const TeamInfo& t : settings_.teams) {
+void Scheduler::find_guaranteed() {
+  for (const TeamQuota& t : settings_.teams) {
     if (t.cpus <= 0 && t.gpus <= 0) continue;
     const Index team = team_names_.find(t.name);
     std::vector<Job*> v;
     for (const auto& job : jobs_)
-      if (job && job->team == team && !job->over()) v.push_back(job.get());
-    std::sort(v.begin(), v.end(), [](const Job* a, const Job* b) { return a->at_s < b->at_s; });
-    Amounts all;
+      if (job && job->team == team && !job->is_finished()) v.push_back(job.get());
+    std::sort(v.begin(), v.end(),
+              [](const Job* a, const Job* b) { return a->timestamp_s < b->timestamp_s; });
+    Resources all;
     for (Job* job : v) {
-      all += job->spec.each.times(job->tasks() - job->done_count);
+      all += job->spec.per_task.scaled(job->tasks() - job->done_count);
       job->guaranteed = all.cpus <= t.cpus && all.gpus <= t.gpus;
     }
   }
@@ -85,27 +86,27 @@
 // The order among jobs of equal rank, smallest first. A class that is promised a prompt start goes
 // by when that promise runs out. All others, and those that missed it, go by age, yet a job with
 // much work left stands back for small ones: of a queue that cannot all be in time, most are then.
-double Core::urgency(const Job& job, double now) const {
+double Scheduler::urgency(const Job& job, double now) const {
   // What waits of a service is a replica that is missing now, however old the service is.
-  if (job.service()) return std::max(job.seen_at, job.missing_since) - now - kStartPromiseFirst;
+  if (job.is_service()) return std::max(job.seen_at, job.missing_since) - now - kStartPromiseFirst;
   const double age = now - job.seen_at;
   for (const double within : job.start_within) {
     if (within <= age) continue;
     if (job.has_start_promise) return within - age - kStartPromiseFirst;
     if (within - age < kDueSoon) return within - age - kDueFirst;
   }
-  const double left = (job.tasks() - job.done_count) * job.share * job.spec.estimate_s;
-  return std::min(left * settings_.tuning.small_first, kMostStandingBack) - age;
+  const double left = (job.tasks() - job.done_count) * job.share * job.spec.expected_runtime_s;
+  return std::min(left * settings_.tuning.short_job_preference_s, kMostStandingBack) - age;
 }
 
-bool Core::starved(const Job& job, double now) const {
+bool Scheduler::starved(const Job& job, double now) const {
   return now - std::max(job.seen_at, job.last_start) > kStarvedAfter;
 }
 
-void Core::sort_jobs(double now) {
+void Scheduler::sort_jobs(double now) {
   struct Entry {
     bool starved, guaranteed;
-    Rank rank;
+    Priority priority;
     double urgency;
     Index job;
   };
@@ -113,21 +114,21 @@
   std::vector<Entry> v;
   least_ = {1e18, 1e18, 1e18};
   for (const auto& job : jobs_) {
-    if (!job || job->state != JobState::open || job->waiting.empty() || job->stale() ||
+    if (!job || job->state != JobState::open || job->waiting.empty() || job->is_stale() ||
         now < job->not_before)
       continue;
     const bool late = starved(*job, now);
     job->urgency = late ? std::max(job->seen_at, job->last_start) : urgency(*job, now);
-    v.push_back({late, job->guaranteed, job->spec.rank, job->urgency, job->id});
-    least_.cpus = std::min(least_.cpus, job->spec.each.cpus);
-    least_.gpus = std::min(least_.gpus, job->spec.each.gpus);
-    least_.mem = std::min(least_.mem, job->spec.each.mem);
+    v.push_back({late, job->guaranteed, job->spec.priority, job->urgency, job->id});
+    least_.cpus = std::min(least_.cpus, job->spec.per_task.cpus);
+    least_.gpus = std::min(least_.gpus, job->spec.per_task.gpus);
+    least_.memory_gb = std::min(least_.memory_gb, job->spec.per_task.memory_gb);
   }
   std::sort(v.begin(), v.end(), [](const Entry& a, const Entry& b) {
     if (a.starved != b.starved) return a.starved;
     if (!a.starved) {
       if (a.guaranteed != b.guaranteed) return a.guaranteed;
-      if (a.rank != b.rank) return a.rank > b.rank;
+      if (a.priority != b.priority) return a.priority > b.priority;
     }
     return std::tie(a.urgency, a.job) < std::tie(b.urgency, b.job);
   });
@@ -135,63 +136,65 @@
   for (const Entry& e : v) order_.push_back(e.job);
 }
 
-bool Core::within_limit(const Job& job, uint32_t count) const {
-  for (const TeamInfo& t : settings_.teams) {
+bool Scheduler::within_limit(const Job& job, uint32_t count) const {
+  for (const TeamQuota& t : settings_.teams) {
     if (t.name != job.spec.team) continue;
-    const Amounts& used = team_used_[job.team];
-    if (t.cpus_max > 0 && used.cpus + job.spec.each.cpus * count > t.cpus_max + 1e-9) return false;
-    if (t.gpus_max > 0 && used.gpus + job.spec.each.gpus * count > t.gpus_max + 1e-9) return false;
+    const Resources& used = team_used_[job.team];
+    if (t.cpus_max > 0 && used.cpus + job.spec.per_task.cpus * count > t.cpus_max + 1e-9)
+      return false;
+    if (t.gpus_max > 0 && used.gpus + job.spec.per_task.gpus * count > t.gpus_max + 1e-9)
+      return false;
     return true;
   }
   return false;  // an unknown team is never let in; see 422
 }
 
 // Old attempts count until they are proven gone: all in job.attempts that have not ended.
-bool Core::zone_allows(const Job& job, Index zone, uint32_t more) const {
+bool Scheduler::zone_allows(const Job& job, Index zone, uint32_t more) const {
   if (job.zone != kNone && zone != job.zone) return false;
-  if (!job.spec.one_zone && !job.spec.scatter) return true;
+  if (!job.spec.single_zone && !job.spec.spread_zones) return true;
   uint32_t here = 0;
   for (const auto& [t, a] : job.attempts) {
     if (a.state == AttemptState::ended) continue;
     if (machines_[a.machine]->zone == zone)
       ++here;
-    else if (job.spec.one_zone)
+    else if (job.spec.single_zone)
       return false;
   }
-  return !job.spec.scatter || here + more <= (job.tasks() + 1) / 2;
+  return !job.spec.spread_zones || here + more <= (job.tasks() + 1) / 2;
 }
 
 // Whether anything new may be placed there at all: what does not depend on the job.
-bool Core::takes_work(const Machine& m, double now) const {
+bool Scheduler::takes_work(const Machine& m, double now) const {
   if (!m.usable() || m.type == kNone || now < m.suspect_until) return false;
   // A machine that missed a report may be gone already.
-  return now - m.last_report <= 1.7 * settings_.report_s;
+  return now - m.last_heartbeat <= 1.7 * settings_.heartbeat_interval_s;
 }
 
 // Whether the job may run there; of machines that take work.
-bool Core::may_run(const Job& job, const Machine& m, double now) const {
+bool Scheduler::may_run(const Job& job, const Machine& m, double now) const {
   if (!job.types.empty() && !job.types[m.type]) return false;
   if (m.spot && !job.spec.spot) return false;
   if (job.zone != kNone && m.zone != job.zone) return false;
   if (m.reserved_for != kNone && m.reserved_for != job.id && now < m.reserved_until) return false;
-  if (!m.unanswered.empty() &&
-      std::any_of(m.unanswered.begin(), m.unanswered.end(),
+  if (!m.unanswered_starts.empty() &&
+      std::any_of(m.unanswered_starts.begin(), m.unanswered_starts.end(),
                   [&](const auto& u) { return std::get<0>(u) == job.spec.id; }))
     return false;  // it still lists an older attempt, which must not be cleared
-  return !(job.erred_on.count(m.index) && job.erred_on.size() < 3);
+  return !(job.failed_machines.count(m.index) && job.failed_machines.size() < 3);
 }
 
-double Core::score(const Job& job, const Machine& m) const {
-  const TypeInfo& type = types_[m.type];
+double Scheduler::score(const Job& job, const Machine& m) const {
+  const MachineType& type = types_[m.type];
   double s = 0;
   if (!m.images.count(job.image)) {
-    const double fetch = type.fetch_s(job.spec.image_gb);
+    const double fetch = type.fetch_time_s(job.spec.image_gb);
     bool same = false;
     size_t others = 0;
     Index last = kNone;
     for (const auto& [j, t] : m.tasks) {
       const Job& other = *jobs_[j];
-      if (other.attempts.at(t).state > AttemptState::pulling || m.images.count(other.image))
+      if (other.attempts.at(t).state > AttemptState::fetching || m.images.count(other.image))
         continue;
       same = same || other.image == job.image;
       others += other.image != last;  // tasks of a job come together, so this counts images
@@ -199,18 +202,18 @@
     }
     s += same ? 0.5 * fetch : fetch * (1.0 + static_cast<double>(others));
   }
-  if (job.spec.spot && !m.spot && !job.service()) s += kSpotPreference;
+  if (job.spec.spot && !m.spot && !job.is_service()) s += kSpotPreference;
   if (!job.has_start_promise)
     for (const auto& [i, e] : m.images)
       if (i != job.image && start_promise_images_.count(i))
-        s += kLeaveWarm * type.fetch_s(e.second);
-  const double filled = m.used.share_of(type.size);
+        s += kLeaveWarm * type.fetch_time_s(e.second);
+  const double filled = m.used.dominant_share(type.size);
   return s + kPackPreference * (1 - filled);
 }
 
 // Whether the job's image is there, or under way for another of its tasks or jobs; for a promised
 // start it has to be there.
-bool Core::warm(const Job& job, const Machine& m) const {
+bool Scheduler::warm(const Job& job, const Machine& m) const {
   if (m.images.count(job.image)) return true;
   return !job.has_start_promise && std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& t) {
     return jobs_[t.first]->image == job.image;
@@ -218,7 +221,7 @@
 }
 
 // The machines that take work and have room for the smallest waiting task: looked for once a round.
-void Core::gather_open(double now) {
+void Scheduler::gather_open(double now) {
   open_.clear();
   full_.clear();
   for (const auto& m : machines_) {
@@ -227,30 +230,31 @@
   }
 }
 
-Amounts Core::free_on(const Machine& m) const {
-  Amounts room = types_[m.type].size;
+Resources Scheduler::free_on(const Machine& m) const {
+  Resources room = types_[m.type].size;
   room -= m.used;
   return room;
 }
 
-bool Core::has_room(const Machine& m) const { return least_.fits(free_on(m)); }
+bool Scheduler::has_room(const Machine& m) const { return least_.fits_in(free_on(m)); }
 
 // Whether a search in this round has shown already that there is no room for it.
-bool Core::known_full(const Job& job, uint32_t count) const {
+bool Scheduler::known_full(const Job& job, uint32_t count) const {
   return std::any_of(full_.begin(), full_.end(), [&](const Full& f) {
     return job.zone == f.zone && job.spec.spot == f.spot && job.types == f.types &&
-           job.spec.one_zone == f.one_zone && count >= f.count &&
-           f.each.cpus <= job.spec.each.cpus + 1e-9 && f.each.gpus <= job.spec.each.gpus + 1e-9 &&
-           f.each.mem <= job.spec.each.mem + 1e-9;
+           job.spec.single_zone == f.single_zone && count >= f.count &&
+           f.per_task.cpus <= job.spec.per_task.cpus + 1e-9 &&
+           f.per_task.gpus <= job.spec.per_task.gpus + 1e-9 &&
+           f.per_task.memory_gb <= job.spec.per_task.memory_gb + 1e-9;
   });
 }
 
 // All places for tasks of the job, cheapest first: one search serves all of its waiting tasks.
-std::vector<Core::Place> Core::places(const Job& job, double now, bool* is_special,
-                                      bool warm_only) {
+std::vector<Scheduler::Place> Scheduler::places(const Job& job, double now, bool* is_special,
+                                                bool warm_only) {
   std::vector<Place> out;
-  const bool bound_to_its_zone = job.spec.one_zone && !job.attempts.empty();
-  bool special = job.spec.scatter || bound_to_its_zone || !job.erred_on.empty();
+  const bool bound_to_its_zone = job.spec.single_zone && !job.attempts.empty();
+  bool special = job.spec.spread_zones || bound_to_its_zone || !job.failed_machines.empty();
   for (size_t k = 0; k < open_.size();) {
     const Machine& m = *machines_[open_[k]];
     if (!has_room(m)) {  // filled up in this round
@@ -261,12 +265,12 @@
     ++k;
     ++work_.machines_looked_at;
     // What holds for this job alone must not tell other jobs that there is no room.
-    special = special || m.reserved_for != kNone || !m.unanswered.empty();
+    special = special || m.reserved_for != kNone || !m.unanswered_starts.empty();
     if (!may_run(job, m, now)) continue;
-    Amounts room = free_on(m);
+    Resources room = free_on(m);
     uint32_t slots = 0;
-    while (slots < job.waiting.size() && job.spec.each.fits(room)) {
-      room -= job.spec.each;
+    while (slots < job.waiting.size() && job.spec.per_task.fits_in(room)) {
+      room -= job.spec.per_task;
       ++slots;
     }
     if (slots == 0 || (warm_only && !warm(job, m))) continue;
@@ -278,89 +282,90 @@
   });
   if (is_special) *is_special = special;
   if (out.empty() && !special && !warm_only)
-    full_.push_back({job.spec.each, job.zone, job.types, job.spec.spot, job.spec.one_zone, 1});
+    full_.push_back(
+        {job.spec.per_task, job.zone, job.types, job.spec.spot, job.spec.single_zone, 1});
   return out;
 }
 
-void Core::propose(Job& job, uint32_t task, uint64_t number, Index mi, double now) {
+void Scheduler::propose(Job& job, uint32_t task, uint64_t number, Index mi, double now) {
   Machine& m = *machines_[mi];
   Attempt a;
   a.task = task;
   a.number = number;
   a.machine = mi;
-  a.session = m.session;
+  a.epoch = m.epoch;
   a.since = now;
   a.shielded = starved(job, now);
   job.attempts[task] = a;
   job.waiting.erase(task);
   ++job.proposed;
-  job.top = std::max(job.top, number);
+  job.highest_attempt = std::max(job.highest_attempt, number);
   m.tasks.emplace_back(job.id, task);
-  m.used += job.spec.each;
-  team_used_[job.team] += job.spec.each;
-  const Wait waits = job.service()           ? Wait::replica
-                     : job.has_start_promise ? Wait::promised
-                                             : Wait::start;
-  mark_dirty(job, task, waits, now);
+  m.used += job.spec.per_task;
+  team_used_[job.team] += job.spec.per_task;
+  const WriteUrgency write_urgency = job.is_service()        ? WriteUrgency::replica
+                                     : job.has_start_promise ? WriteUrgency::prompt_start
+                                                             : WriteUrgency::start;
+  mark_dirty(job, task, write_urgency, now);
   spdlog::debug("task {}/{} attempt {}: proposed for {}", job.spec.id, task, number, m.name);
 }
 
 // How many tasks a starved array may begin at its turn: a share of its own, and no more than that
 // share of what the whole fleet holds of them. Of an array larger than the fleet, a share of its
 // own would take every place before promised work.
-uint32_t Core::starved_share(const Job& job) const {
+uint32_t Scheduler::starved_share(const Job& job) const {
   const double fleet_holds = job.share > 0 ? static_cast<double>(ready_) / job.share : 0;
   const double counted = std::min<double>(job.tasks(), fleet_holds);
   return std::max(kStarvedLeast, static_cast<uint32_t>(counted) / kStarvedShare);
 }
 
-bool Core::place_array(Job& job, double now, int& budget, bool warm_only) {
+bool Scheduler::place_array(Job& job, double now, int& limiter, bool warm_only) {
   if (!within_limit(job, 1)) return true;  // its own limit, not the machines, holds it back
   if (known_full(job, 1)) return false;
-  const uint64_t number = job.top + 1;
+  const uint64_t number = job.highest_attempt + 1;
   const bool late = starved(job, now);
-  if (late && job.turn_left == 0) job.turn_left = starved_share(job);
-  uint32_t most = late ? job.turn_left : UINT32_MAX;
+  if (late && job.starvation_allowance == 0) job.starvation_allowance = starved_share(job);
+  uint32_t most = late ? job.starvation_allowance : UINT32_MAX;
   // One task shows whether it still fails. The next one waits for that and for the back-off: the
   // error of the first is reported only after rounds in which more would have been started.
   if (faulty(job)) most = job.attempts.empty() ? 1 : 0;
   size_t began = 0;
   for (const Place& p : places(job, now, nullptr, warm_only)) {
-    for (uint32_t k = 0; k < p.slots && budget > 0 && most > 0; ++k) {
+    for (uint32_t k = 0; k < p.slots && limiter > 0 && most > 0; ++k) {
       if (job.waiting.empty() || !within_limit(job, 1)) break;
       if (!zone_allows(job, machines_[p.machine]->zone, 1)) break;
       propose(job, *job.waiting.begin(), number, p.machine, now);
-      --budget;
+      --limiter;
       --most;
-      if (late) --job.turn_left;
+      if (late) --job.starvation_allowance;
       ++began;
     }
-    if (job.waiting.empty() || budget <= 0 || most == 0 || !within_limit(job, 1)) break;
+    if (job.waiting.empty() || limiter <= 0 || most == 0 || !within_limit(job, 1)) break;
   }
   // In a full fleet places come free a few at a time: its turn lasts until its share has begun.
-  if (began > 0 && (!late || job.turn_left == 0 || job.waiting.empty())) {
+  if (began > 0 && (!late || job.starvation_allowance == 0 || job.waiting.empty())) {
     job.last_start = now;
-    job.turn_left = 0;
+    job.starvation_allowance = 0;
   }
-  return job.waiting.empty() || budget <= 0 || most == 0 || !within_limit(job, 1);
+  return job.waiting.empty() || limiter <= 0 || most == 0 || !within_limit(job, 1);
 }
 
 // Whether a start that has to fetch its image would surely break the promise that is due next,
 // while one on a machine that has it can still keep it. Then only such a machine will do, for as
 // long.
-bool Core::needs_warm(const Job& job, double now) const {
+bool Scheduler::needs_warm(const Job& job, double now) const {
   const double age = now - job.seen_at;
-  if (!job.has_start_promise || !job.attempts.empty() || job.service()) return false;
+  if (!job.has_start_promise || !job.attempts.empty() || job.is_service()) return false;
   for (const double within : job.start_within) {
     if (within <= age) continue;
     double fetch = 0;
-    for (const TypeInfo& t : types_) fetch = std::max(fetch, t.fetch_s(job.spec.image_gb));
+    for (const MachineType& t : types_) fetch = std::max(fetch, t.fetch_time_s(job.spec.image_gb));
     return within - age < fetch + kStartTime && within - age > kWarmStartTime;
   }
   return false;
 }
 
-bool Core::place_gang(Job& job, double now, int& budget, bool warm_only) {
+bool Scheduler::place_gang(Job& job, double now, int& limiter, bool warm_only) {
   if (!job.attempts.empty()) {
     // Either the old attempt has not left entirely, or it gathers and lacks some: replacements
     // join it under its number (invariant 4's exception).
@@ -372,7 +377,7 @@
       for (uint32_t k = 0; k < p.slots && !job.waiting.empty() && within_limit(job, 1); ++k) {
         if (!zone_allows(job, machines_[p.machine]->zone, 1)) break;
         propose(job, *job.waiting.begin(), number, p.machine, now);
-        --budget;
+        --limiter;
       }
     return job.waiting.empty() || !within_limit(job, 1);
   }
@@ -383,7 +388,7 @@
   const std::vector<Place> all = places(job, now, &special, warm_only);
   const uint32_t n = job.tasks();
   std::vector<Index> zones{kNone}, best;
-  if (job.spec.one_zone) {
+  if (job.spec.single_zone) {
     zones.clear();
     for (Index z = 0; z < zone_names_.size(); ++z) zones.push_back(z);
   }
@@ -396,7 +401,7 @@
       const Index zone = machines_[p.machine]->zone;
       if (z != kNone && zone != z) continue;
       for (uint32_t k = 0; k < p.slots && got.size() < n; ++k) {
-        if (job.spec.scatter && in_zone[zone] >= (n + 1) / 2) break;
+        if (job.spec.spread_zones && in_zone[zone] >= (n + 1) / 2) break;
         ++in_zone[zone];
         got.push_back(p.machine);
         worst = p.score;
@@ -411,13 +416,14 @@
   if (best.empty()) {
     claim(job, all, now);
     if (!special && !warm_only)
-      full_.push_back({job.spec.each, job.zone, job.types, job.spec.spot, job.spec.one_zone, n});
+      full_.push_back(
+          {job.spec.per_task, job.zone, job.types, job.spec.spot, job.spec.single_zone, n});
     return false;
   }
-  const uint64_t number = job.top + 1;
+  const uint64_t number = job.highest_attempt + 1;
   const std::vector<uint32_t> tasks(job.waiting.begin(), job.waiting.end());
   for (size_t i = 0; i < tasks.size(); ++i) propose(job, tasks[i], number, best[i], now);
-  budget -= static_cast<int>(tasks.size());
+  limiter -= static_cast<int>(tasks.size());
   job.last_start = now;
   return true;
 }
@@ -425,48 +431,49 @@
 // Free places that do not suffice for a gang yet are kept for it in this round, in the zone that
 // has most of them: of the few that come free at a time, it would never see enough at once. The
 // most urgent gang comes first in every round, so it always gets on.
-void Core::claim(const Job& job, const std::vector<Place>& free, double now) {
+void Scheduler::claim(const Job& job, const std::vector<Place>& free, double now) {
   const double waited = now - std::max(job.seen_at, job.last_start);
   const bool late = starved(job, now);
   if (waited < (job.has_start_promise ? kStartPromiseClaimAfter : kSetAsideAfter) && !late) return;
   if (!late && job.tasks() * job.share > kClaimMost * static_cast<double>(ready_)) return;
   std::map<Index, uint32_t> slots;
-  for (const Place& p : free) slots[job.spec.one_zone ? machines_[p.machine]->zone : 0] += p.slots;
+  for (const Place& p : free)
+    slots[job.spec.single_zone ? machines_[p.machine]->zone : 0] += p.slots;
   const auto most = std::max_element(
       slots.begin(), slots.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
   if (most == slots.end()) return;
   uint32_t left = job.tasks();
   for (const Place& p : free) {
     Machine& m = *machines_[p.machine];
-    if (job.spec.one_zone && m.zone != most->first) continue;
+    if (job.spec.single_zone && m.zone != most->first) continue;
     for (uint32_t k = 0; k < p.slots && left > 0; ++k, --left) {
-      m.used += job.spec.each;
-      claims_.emplace_back(p.machine, job.spec.each);
+      m.used += job.spec.per_task;
+      claims_.emplace_back(p.machine, job.spec.per_task);
     }
   }
 }
 
-bool Core::may_stop(const Job& job, const Job& victim) const {
-  if (victim.spec.rank < job.spec.rank) return true;
+bool Scheduler::may_stop(const Job& job, const Job& victim) const {
+  if (victim.spec.priority < job.spec.priority) return true;
   if (victim.team == job.team || !job.guaranteed) return false;
-  for (const TeamInfo& t : settings_.teams)
+  for (const TeamQuota& t : settings_.teams)
     if (t.name == victim.spec.team) {
-      const Amounts& used = team_used_[victim.team];
+      const Resources& used = team_used_[victim.team];
       return used.cpus > t.cpus + 1e-9 || used.gpus > t.gpus + 1e-9;
     }
   return false;
 }
 
 // Whether there is too little room for a task of the job of something that the victim holds.
-bool Core::lacks_what_it_takes(const Job& job, const Amounts& room, const Job& victim) {
-  const Amounts& wanted = job.spec.each;
-  const Amounts& held = victim.spec.each;
+bool Scheduler::lacks_what_it_takes(const Job& job, const Resources& room, const Job& victim) {
+  const Resources& wanted = job.spec.per_task;
+  const Resources& held = victim.spec.per_task;
   return (held.cpus > 0 && wanted.cpus > room.cpus) || (held.gpus > 0 && wanted.gpus > room.gpus) ||
-         (held.mem > 0 && wanted.mem > room.mem);
+         (held.memory_gb > 0 && wanted.memory_gb > room.memory_gb);
 }
 
 // Where room for one task of the job could be made, where the least work is lost by it first.
-std::vector<Core::Eviction> Core::evictions(const Job& job, double now) {
+std::vector<Scheduler::Eviction> Scheduler::evictions(const Job& job, double now) {
   std::vector<Eviction> out;
   struct Victim {
     double cost;
@@ -479,23 +486,24 @@
     if (m.state != MachineState::ready || !takes_work(m, now) || !may_run(job, m, now)) continue;
     if (m.reserved_for != kNone || !zone_allows(job, m.zone, 1)) continue;
     ++work_.machines_looked_at;
-    Amounts room = free_on(m);
+    Resources room = free_on(m);
     victims.clear();
     for (const auto& [j, t] : m.tasks) {
       const Job& v = *jobs_[j];
       const Attempt& a = v.attempts.at(t);
       if (a.stop) {
-        room += v.spec.each;  // it is leaving anyway
+        room += v.spec.per_task;  // it is leaving anyway
         continue;
       }
-      if (a.state == AttemptState::proposed || a.shielded || v.gang() || !may_stop(job, v))
+      if (a.state == AttemptState::proposed || a.shielded || v.is_gang() || !may_stop(job, v))
         continue;
-      if (v.service() && !lacks_what_it_takes(job, room, v)) continue;
+      if (v.is_service() && !lacks_what_it_takes(job, room, v)) continue;
       double lost = 0;
-      if (v.service())
+      if (v.is_service())
         lost = kReplicaCost;
       else if (a.state == AttemptState::running)
-        lost = v.spec.checkpoint_s > 0 ? 1 + v.spec.save_s : 5 + now - a.running_since;
+        lost = v.spec.checkpoint_interval_s > 0 ? 1 + v.spec.checkpoint_duration_s
+                                                : 5 + now - a.running_since;
       victims.push_back({lost, j, t});
     }
     std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
@@ -503,14 +511,14 @@
     });
     Eviction e{0, m.index, {}};
     for (const Victim& v : victims) {
-      if (job.spec.each.fits(room)) break;
-      room += jobs_[v.job]->spec.each;
+      if (job.spec.per_task.fits_in(room)) break;
+      room += jobs_[v.job]->spec.per_task;
       e.cost += v.cost;
       e.victims.emplace_back(v.job, v.task);
     }
-    if (!job.spec.each.fits(room)) continue;
+    if (!job.spec.per_task.fits_in(room)) continue;
     if (!m.images.count(job.image))
-      e.cost += kFetchCost * types_[m.type].fetch_s(job.spec.image_gb);
+      e.cost += kFetchCost * types_[m.type].fetch_time_s(job.spec.image_gb);
     out.push_back(std::move(e));
   }
   std::sort(out.begin(), out.end(), [](const Eviction& a, const Eviction& b) {
@@ -520,25 +528,25 @@
 }
 
 // Makes room for the job's tasks: for a gang for all or for none.
-void Core::preempt_for(Job& job, double now, bool warm_only) {
+void Scheduler::preempt_for(Job& job, double now, bool warm_only) {
   // Room that is being made already is not made twice.
   uint32_t pending = 0;
   for (const auto& m : machines_)
     if (m->reserved_for == job.id && now < m->reserved_until) ++pending;
   const uint32_t wanted = static_cast<uint32_t>(
-      job.gang() ? job.waiting.size() : std::min<size_t>(job.waiting.size(), 8));
+      job.is_gang() ? job.waiting.size() : std::min<size_t>(job.waiting.size(), 8));
   if (pending >= wanted || !within_limit(job, 1)) return;
   const uint32_t more = wanted - pending;
   if (std::any_of(hopeless_.begin(), hopeless_.end(), [&](const Hopeless& h) {
-        return h.rank == job.spec.rank && !job.guaranteed && h.zone == job.zone &&
-               h.spot == job.spec.spot && h.one_zone == job.spec.one_zone && h.types == job.types &&
-               more >= h.more && h.share <= job.share + 1e-9;
+        return h.priority == job.spec.priority && !job.guaranteed && h.zone == job.zone &&
+               h.spot == job.spec.spot && h.single_zone == job.spec.single_zone &&
+               h.types == job.types && more >= h.more && h.share <= job.share + 1e-9;
       }))
     return;
   std::vector<Eviction> all = evictions(job, now);
   if (warm_only)
     std::erase_if(all, [&](const Eviction& e) { return !warm(job, *machines_[e.machine]); });
-  if (job.spec.one_zone && job.gang() && job.attempts.empty()) {
+  if (job.spec.single_zone && job.is_gang() && job.attempts.empty()) {
     std::map<Index, uint32_t> found;
     Index zone = kNone;
     for (const Eviction& e : all)  // cheapest first: the first zone that has enough
@@ -548,10 +556,10 @@
       }
     std::erase_if(all, [&](const Eviction& e) { return machines_[e.machine]->zone != zone; });
   }
-  if (all.empty() || (job.gang() && all.size() < more)) {
+  if (all.empty() || (job.is_gang() && all.size() < more)) {
     if (warm_only) return;
-    hopeless_.push_back({job.spec.rank, job.zone, job.types, job.spec.spot, job.spec.one_zone,
-                         job.gang() ? more : 1, job.share});
+    hopeless_.push_back({job.spec.priority, job.zone, job.types, job.spec.spot,
+                         job.spec.single_zone, job.is_gang() ? more : 1, job.share});
     return;
   }
   for (size_t k = 0; k < std::min<size_t>(more, all.size()); ++k) {
@@ -560,7 +568,9 @@
     m.reserved_until = now + kReserve;
     for (const auto& [j, t] : all[k].victims) {
       Job& v = *jobs_[j];
-      stop_attempt(v, v.attempts.at(t), v.spec.checkpoint_s > 0 ? v.spec.save_s + kGraceMargin : 0);
+      stop_attempt(
+          v, v.attempts.at(t),
+          v.spec.checkpoint_interval_s > 0 ? v.spec.checkpoint_duration_s + kGraceMargin : 0);
     }
     if (!all[k].victims.empty())
       spdlog::info("job {}: {} tasks on {} stopped to make room", job.spec.id,
@@ -569,21 +579,22 @@
 }
 
 // When room for one task of the job will come of itself, by the owners' estimates.
-double Core::frees_at(const Job& job, const Machine& m, double now) const {
-  Amounts room = free_on(m);
-  if (job.spec.each.fits(room)) return now;
+double Scheduler::frees_at(const Job& job, const Machine& m, double now) const {
+  Resources room = free_on(m);
+  if (job.spec.per_task.fits_in(room)) return now;
   std::vector<std::pair<double, const Job*>> ends;
   for (const auto& [j, t] : m.tasks) {
     const Job& other = *jobs_[j];
     const Attempt& a = other.attempts.at(t);
-    if (other.service() && !a.stop) continue;  // it does not end of itself
+    if (other.is_service() && !a.stop) continue;  // it does not end of itself
     const double since = a.state == AttemptState::running ? a.running_since : now;
-    ends.emplace_back(a.stop ? now : std::max(since + other.spec.estimate_s, now + 3), &other);
+    ends.emplace_back(a.stop ? now : std::max(since + other.spec.expected_runtime_s, now + 3),
+                      &other);
   }
   std::sort(ends.begin(), ends.end());
   for (const auto& [at, other] : ends) {
-    room += other->spec.each;
-    if (job.spec.each.fits(room)) return at;
+    room += other->spec.per_task;
+    if (job.spec.per_task.fits_in(room)) return at;
   }
   return 1e18;
 }
@@ -591,11 +602,11 @@
 // Keeps machines together for a job that has waited: nothing else is begun on them, nothing of
 // equal or higher priority is stopped. The most urgent jobs come first, so the first one always
 // gets on.
-void Core::set_aside(Job& job, double now) {
+void Scheduler::reserve_machines(Job& job, double now) {
   if (now - std::max(job.seen_at, job.last_start) < kSetAsideAfter) return;
-  if (!job.gang() && job.share < kSetAsideSize) return;
-  if (job.gang() && !job.attempts.empty()) return;
-  const size_t wanted = job.gang() ? job.waiting.size() : 1;
+  if (!job.is_gang() && job.share < kSetAsideSize) return;
+  if (job.is_gang() && !job.attempts.empty()) return;
+  const size_t wanted = job.is_gang() ? job.waiting.size() : 1;
   size_t have = 0;
   for (auto& m : machines_)
     if (m->reserved_for == job.id && takes_work(*m, now)) {
@@ -603,12 +614,12 @@
       ++have;
     }
   aside_ += have;
-  if (have >= wanted || now < job.set_aside_at) return;
+  if (have >= wanted || now < job.reserve_retry_at) return;
   if (aside_ + wanted - have >
           std::max<size_t>(2, static_cast<size_t>(kSetAsideMost * static_cast<double>(ready_))) &&
       aside_ > 0)
     return;
-  job.set_aside_at = now + 1;
+  job.reserve_retry_at = now + 1;
   std::vector<std::pair<double, Index>> all;
   for (const auto& m : machines_) {
     if (m->state != MachineState::ready || !takes_work(*m, now) || !may_run(job, *m, now)) continue;
@@ -617,7 +628,7 @@
     if (const double at = frees_at(job, *m, now); at < 1e18) all.emplace_back(at, m->index);
   }
   std::sort(all.begin(), all.end());
-  if (job.spec.one_zone && job.gang()) {
+  if (job.spec.single_zone && job.is_gang()) {
     std::map<Index, size_t> found;
     for (const auto& m : machines_)
       if (m->reserved_for == job.id) ++found[m->zone];
@@ -636,9 +647,9 @@
   }
 }
 
-void Core::place(double now) {
+void Scheduler::place(double now) {
   sort_jobs(now);
-  int budget = kBatch + static_cast<int>(backlog() / 8);
+  int limiter = kBatch + static_cast<int>(backlog() / 8);
   aside_ = 0;
   ready_ = 0;
   for (auto& m : machines_) {
@@ -656,40 +667,40 @@
   const Job* first = nullptr;
   int looked = 0;
   for (Index i : order_) {
-    if (budget <= 0) break;
+    if (limiter <= 0) break;
     Job& job = *jobs_[i];
     ++work_.jobs_looked_at;
-    if (job.gang() || job.has_start_promise || starved(job, now)) {
+    if (job.is_gang() || job.has_start_promise || starved(job, now)) {
       if (first) continue;  // after arrays that go before it
-      place_job(job, now, budget, preempt);
+      place_job(job, now, limiter, preempt);
       continue;
     }
     if (!first) first = &job;
-    if (job.spec.rank != first->spec.rank || job.guaranteed != first->guaranteed ||
+    if (job.spec.priority != first->spec.priority || job.guaranteed != first->guaranteed ||
         job.urgency > first->urgency + kWarmWindow || ++looked > kWarmJobs)
       break;
-    place_array(job, now, budget, true);
+    place_array(job, now, limiter, true);
   }
   bool after = false;
   for (Index i : order_) {
-    if (budget <= 0) break;
+    if (limiter <= 0) break;
     Job& job = *jobs_[i];
     after = after || &job == first;
-    if (after && !job.waiting.empty()) place_job(job, now, budget, preempt);
+    if (after && !job.waiting.empty()) place_job(job, now, limiter, preempt);
   }
-  for (const auto& [m, each] : claims_) machines_[m]->used -= each;
+  for (const auto& [m, per_task] : claims_) machines_[m]->used -= per_task;
   claims_.clear();
 }
 
-void Core::place_job(Job& job, double now, int& budget, bool preempt) {
+void Scheduler::place_job(Job& job, double now, int& limiter, bool preempt) {
   ++work_.jobs_looked_at;
   const bool warm_only = needs_warm(job, now);
-  const bool placed = job.gang()      ? place_gang(job, now, budget, warm_only)
-                      : job.service() ? place_service(job, now, budget)
-                                      : place_array(job, now, budget, warm_only);
+  const bool placed = job.is_gang()      ? place_gang(job, now, limiter, warm_only)
+                      : job.is_service() ? place_service(job, now, limiter)
+                                         : place_array(job, now, limiter, warm_only);
   if (placed || !preempt) return;
   preempt_for(job, now, warm_only);
-  if (!warm_only) set_aside(job, now);
+  if (!warm_only) reserve_machines(job, now);
 }
 
 }  // namespace rookdyke
--- a/src/core/reports.cpp
+++ b/src/scheduler/reports.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "core/core.h"
+#include "scheduler/scheduler.h"
 
 namespace rookdyke {
 
@@ -25,20 +25,20 @@
 
 // By when workers that can find their way to a leader of that start have mostly come.
 double expected_by(double started, const Settings& settings) {
-  return started + 1.3 * settings.report_s + 1.5;
+  return started + 1.3 * settings.heartbeat_interval_s + 1.5;
 }
 
-AttemptState phase(Seen s) {
+AttemptState seen(TaskPhase s) {
   switch (s) {
-    case Seen::pulling:
-      return AttemptState::pulling;
-    case Seen::gathering:
-      return AttemptState::gathering;
-    case Seen::running:
+    case TaskPhase::fetching:
+      return AttemptState::fetching;
+    case TaskPhase::gang_waiting:
+      return AttemptState::gang_waiting;
+    case TaskPhase::running:
       return AttemptState::running;
-    case Seen::saving:
-      return AttemptState::saving;
-    case Seen::exited:
+    case TaskPhase::checkpointing:
+      return AttemptState::checkpointing;
+    case TaskPhase::exited:
       return AttemptState::ended;
   }
   return AttemptState::ended;
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-void Core::register_report(Machine& m, const Report& r, double now) {
+void Scheduler::record_heartbeat(Machine& m, const Heartbeat& r, double now) {
   if (!m.registered) {
     m.addr = r.addr;
     // What the cloud said of it is not given up for a type that nobody knows.
@@ -58,23 +58,23 @@
     }
     record_boot(m, now);
     m.registered = true;
-    m.reports_with_older_token = 0;
+    m.heartbeats_with_older_token = 0;
     m.older_token_since = -1;
     spdlog::debug("machine {} reports for the first time, {:.1f} s after it was hired or met",
                   m.name, now - m.rented_at);
   }
   m.was_up = true;
-  m.last_report = now;
-  if (m.session != r.session) {
-    m.unanswered.clear();  // a direct command names its session
+  m.last_heartbeat = now;
+  if (m.epoch != r.epoch) {
+    m.unanswered_starts.clear();  // a direct command names its session
     m.unacknowledged_commands.clear();
   }
-  m.session = r.session;
+  m.epoch = r.epoch;
   m.seq = r.seq;
   if (m.state == MachineState::booting) set_state(m, MachineState::ready, "its worker reports");
 }
 
-void Core::touch_image(Machine& m, const Job& job, double now) {
+void Scheduler::touch_image(Machine& m, const Job& job, double now) {
   m.images[job.image] = {now, job.spec.image_gb};
   if (m.type == kNone || types_[m.type].cache_gb <= 0) return;
   // The worker keeps the most recently used images; forget what must have fallen out.
@@ -89,7 +89,7 @@
   }
 }
 
-nlohmann::json Core::image_hints() const {
+nlohmann::json Scheduler::image_locations() const {
   using nlohmann::json;
   std::map<Index, size_t> place;
   json images = json::array(), machines = json::object();
@@ -109,7 +109,7 @@
   return {{"images", std::move(images)}, {"machines", std::move(machines)}};
 }
 
-void Core::take_image_hints(const nlohmann::json& hints, double now) {
+void Scheduler::load_image_locations(const nlohmann::json& hints, double now) {
   try {
     std::vector<std::pair<Index, double>> images;
     for (const auto& e : hints.at("images"))
@@ -130,58 +130,59 @@
 }
 
 // Whether a job failed so widely since it last succeeded that the mistake is its own.
-bool Core::faulty(const Job& job) const {
-  return job.erred_on.size() >= kFaultyJobAfter || job.errors > 2 * kFaultyJobAfter;
+bool Scheduler::faulty(const Job& job) const {
+  return job.failed_machines.size() >= kFaultyJobAfter || job.errors > 2 * kFaultyJobAfter;
 }
 
-void Core::judge_error(Machine& m, Job& job, double now) {
-  job.erred_on.insert(m.index);
+void Scheduler::record_error(Machine& m, Job& job, double now) {
+  job.failed_machines.insert(m.index);
   ++job.errors;
   if (faulty(job)) {
     // It fails everywhere: its own mistake. It waits ever longer and blames no machine.
     const double wait = std::min(60.0, 2.0 * static_cast<double>(1u << std::min(job.errors, 6u)));
     job.not_before = std::max(job.not_before, now + wait);
-    for (Index i : job.erred_on) {
+    for (Index i : job.failed_machines) {
       Machine& other = *machines_[i];
-      if (other.err_jobs.erase(job.id) > 0 && other.err_jobs.empty()) other.suspect_until = 0;
+      if (other.failed_jobs.erase(job.id) > 0 && other.failed_jobs.empty()) other.suspect_until = 0;
     }
     return;
   }
   job.not_before = std::max(job.not_before, now + 0.5);
-  m.err_jobs.insert(job.id);
+  m.failed_jobs.insert(job.id);
   m.suspect_until = now + kSuspectFor;
-  if (m.err_jobs.size() >= kSickAfter && !m.cordoned) {
+  if (m.failed_jobs.size() >= kSickAfter && !m.cordoned) {
     spdlog::warn("machine {} failed tasks of {} jobs in a row: cordoned", m.name,
-                 m.err_jobs.size());
+                 m.failed_jobs.size());
     m.cordoned = true;
     drain(m, now, "sick");
   }
 }
 
-void Core::take_task(Machine& m, Job& job, Attempt& a, const TaskReport& t, double now) {
+void Scheduler::apply_task_status(Machine& m, Job& job, Attempt& a, const TaskStatus& t,
+                                  double now) {
   if (a.state == AttemptState::ended || a.state == AttemptState::proposed) return;
-  if (t.seen != Seen::exited) {
-    const AttemptState to = phase(t.seen);
+  if (t.phase != TaskPhase::exited) {
+    const AttemptState to = seen(t.phase);
     if (to == AttemptState::running && a.state != AttemptState::running) a.running_since = now;
     if (a.state == AttemptState::placed || to >= a.state) set_state(job, a, to);
-    if (job.service()) note_replica_runs(m, job, a, now);
-    if (t.seen != Seen::pulling) touch_image(m, job, now);
+    if (job.is_service()) note_replica_runs(m, job, a, now);
+    if (t.phase != TaskPhase::fetching) touch_image(m, job, now);
     return;
   }
-  if (t.cause == Cause::done) {
+  if (t.cause == ExitCause::done) {
     touch_image(m, job, now);
-    m.err_jobs.clear();
+    m.failed_jobs.clear();
     m.suspect_until = 0;
-  } else if (t.cause == Cause::error) {
-    judge_error(m, job, now);
+  } else if (t.cause == ExitCause::error) {
+    record_error(m, job, now);
   }
-  if (t.cause != Cause::done && t.cause != Cause::halted)
+  if (t.cause != ExitCause::done && t.cause != ExitCause::stopped)
     spdlog::info("task {}/{} attempt {} on {} ended: cause {}", job.spec.id, a.task, a.number,
                  m.name, static_cast<int>(t.cause));
   end_attempt(job, a.task, t.cause, now, "its worker reports the exit");
 }
 
-void Core::on_reclaim_notice(Machine& m, double notice_s, double now) {
+void Scheduler::on_reclaim_notice(Machine& m, double notice_s, double now) {
   if (m.reclaim_at < 0) {
     spdlog::info("machine {} will be taken back in {:.1f} s, {} tasks on it", m.name, notice_s,
                  m.tasks.size());
@@ -192,101 +193,103 @@
   for (const auto& [j, t] : m.tasks) {
     Job& job = *jobs_[j];
     Attempt& a = job.attempts.at(t);
-    if (job.service()) {
+    if (job.is_service()) {
       recall_replica(job, a, notice_s);
       continue;
     }
-    const bool can_save = job.spec.checkpoint_s > 0 && a.state == AttemptState::running;
+    const bool can_save = job.spec.checkpoint_interval_s > 0 && a.state == AttemptState::running;
     if (can_save) {
-      if (job.spec.save_s + kGraceMargin < notice_s)
-        stop_with_gang(job, a, job.spec.save_s + kGraceMargin);
-    } else if (a.state != AttemptState::running && a.state != AttemptState::saving) {
+      if (job.spec.checkpoint_duration_s + kGraceMargin < notice_s)
+        stop_with_gang(job, a, job.spec.checkpoint_duration_s + kGraceMargin);
+    } else if (a.state != AttemptState::running && a.state != AttemptState::checkpointing) {
       stop_attempt(job, a, 0);  // nothing to lose yet: let it start elsewhere
     }
     // A running task without checkpoints may still end in time; stopping it would lose it surely.
   }
 }
 
-ReportReply Core::on_report(const Report& r, double now) {
-  ReportReply reply;
-  if (r.token > token_) {
+HeartbeatReply Scheduler::on_heartbeat(const Heartbeat& r, double now) {
+  HeartbeatReply reply;
+  if (r.fencing_token > fencing_token_) {
     // Invariant 2: somebody newer commands this worker.
-    fail("a worker has seen token " + std::to_string(r.token));
-    reply.verdict = ReportReply::Verdict::deposed;
+    lose_leadership("a worker has seen token " + std::to_string(r.fencing_token));
+    reply.verdict = HeartbeatReply::Verdict::deposed;
     return reply;
   }
   Machine& m = machine(r.machine, now);
-  if (m.state == MachineState::gone) return reply;  // a late report of a returned machine
-  if (m.registered && std::make_pair(r.session, r.seq) <= std::make_pair(m.session, m.seq)) {
+  if (m.state == MachineState::terminated) return reply;  // a late report of a returned machine
+  if (m.registered && std::make_pair(r.epoch, r.seq) <= std::make_pair(m.epoch, m.seq)) {
     // Held back on its way: its task list is as old as it is, and its answer goes nowhere.
-    reply.verdict = ReportReply::Verdict::old;
+    reply.verdict = HeartbeatReply::Verdict::outdated;
     return reply;
   }
-  if (r.token < token_) {
+  if (r.fencing_token < fencing_token_) {
     // Invariant 7: sent before its worker had seen our token, so perhaps long ago, and perhaps a
     // copy: it proves nothing, shows no life, and is answered with the token alone. A worker that
     // takes that up reports again within half a second.
-    if (std::make_pair(r.session, r.seq) >
-        std::make_pair(m.older_token_session, m.older_token_seq)) {
-      m.older_token_session = r.session;
+    if (std::make_pair(r.epoch, r.seq) > std::make_pair(m.older_token_epoch, m.older_token_seq)) {
+      m.older_token_epoch = r.epoch;
       m.older_token_seq = r.seq;
       // Those that a cut held back come all at once: they count for one.
-      if (m.reports_with_older_token == 0 || now - m.older_token_at > 0.5 * settings_.report_s) {
+      if (m.heartbeats_with_older_token == 0 ||
+          now - m.older_token_at > 0.5 * settings_.heartbeat_interval_s) {
         m.older_token_at = now;
-        if (m.reports_with_older_token++ == 0) m.older_token_since = now;
+        if (m.heartbeats_with_older_token++ == 0) m.older_token_since = now;
       }
       if (m.addr.empty()) m.addr = r.addr;
     }
     return reply;
   }
   // It lost its lease although we answered it all along: our answers do not reach it.
-  if (m.registered && r.session > m.session && now - m.last_report < 0.6 * settings_.lease_s)
-    m.reports_without_acknowledgement = kUnreachableAfterReports;
+  if (m.registered && r.epoch > m.epoch && now - m.last_heartbeat < 0.6 * settings_.lease_s)
+    m.heartbeats_without_acknowledgement = kUnreachableAfterHeartbeats;
   // Invariant 3, "its tenure rose": the worker killed everything of earlier sessions.
   const auto here = m.tasks;
   for (const auto& [j, t] : here) {
     Job& job = *jobs_[j];
-    if (auto a = job.attempts.find(t); a != job.attempts.end() && a->second.session < r.session)
-      end_attempt(job, t, Cause::none, now, "the worker's session rose");
+    if (auto a = job.attempts.find(t); a != job.attempts.end() && a->second.epoch < r.epoch)
+      end_attempt(job, t, ExitCause::none, now, "the worker's session rose");
   }
   const size_t busy = m.tasks.size();
   const bool known = m.registered;
-  register_report(m, r, now);
+  record_heartbeat(m, r, now);
   note_acknowledged_commands(m, r);
   if (r.notice_s >= 0) on_reclaim_notice(m, r.notice_s, now);
-  orders_for(m, r, reply, now);
-  if (!known || m.tasks.size() < busy) wants_round_ = true;
+  commands_for(m, r, reply, now);
+  if (!known || m.tasks.size() < busy) needs_round_ = true;
   return reply;
 }
 
 // A machine whose reports arrive while nothing that we say reaches it shows by them that what their
 // predecessors were answered was never taken up. Silence is not asked for: it has none.
-void Core::note_acknowledged_commands(Machine& m, const Report& r) {
+void Scheduler::note_acknowledged_commands(Machine& m, const Heartbeat& r) {
   if (m.unacknowledged_commands.empty()) return;
   size_t taken = 0;
   for (const auto& [verb, job, task, attempt] : m.unacknowledged_commands) {
-    const TaskReport* t = nullptr;
-    for (const TaskReport& x : r.tasks)
+    const TaskStatus* t = nullptr;
+    for (const TaskStatus& x : r.tasks)
       if (x.task == task && x.attempt == attempt && x.job == job) t = &x;
-    const bool done = verb == Verb::run     ? t != nullptr
-                      : verb == Verb::clear ? t == nullptr
-                                            : !t || t->seen >= Seen::saving;
+    const bool done = verb == CommandKind::start    ? t != nullptr
+                      : verb == CommandKind::forget ? t == nullptr
+                                                    : !t || t->phase >= TaskPhase::checkpointing;
     taken += done;
   }
   m.unacknowledged_commands.clear();
   if (taken > 0) {
     if (m.unreachable()) spdlog::info("machine {}: our answers reach it again", m.name);
-    m.reports_without_acknowledgement = 0;
-  } else if (++m.reports_without_acknowledgement == kUnreachableAfterReports) {
+    m.heartbeats_without_acknowledgement = 0;
+  } else if (++m.heartbeats_without_acknowledgement == kUnreachableAfterHeartbeats) {
     spdlog::info("machine {} takes up nothing of what it is answered", m.name);
   }
 }
 
 // Takes over what the report says of each task; collects the orders its list calls for.
-void Core::take_list(Machine& m, const Report& r, std::vector<Order>* stops,
-                     std::vector<Order>* clears, Listed& listed, double now) {
+void Scheduler::apply_task_list(Machine& m, const Heartbeat& r,
+                                std::vector<WorkerCommand>* stop_commands,
+                                std::vector<WorkerCommand>* forget_commands, Listed& listed,
+                                double now) {
   m.has_unknown_tasks = false;
-  for (const TaskReport& t : r.tasks) {
+  for (const TaskStatus& t : r.tasks) {
     Job* job = find(job_names_.find(t.job));
     Attempt* a = nullptr;
     if (job) {
@@ -296,41 +299,43 @@
     }
     if (!a) {
       // Unknown: removed durably before (its exit counts, invariant 4), or of a job that is over.
-      if (t.seen != Seen::exited) {
-        if (stops) stops->push_back({Verb::stop, t.job, t.task, t.attempt, 0});
+      if (t.phase != TaskPhase::exited) {
+        if (stop_commands)
+          stop_commands->push_back({CommandKind::stop, t.job, t.task, t.attempt, 0});
         m.has_unknown_tasks = true;
-      } else if (clears && !m.unanswered.count({t.job, t.task, t.attempt})) {
-        clears->push_back({Verb::clear, t.job, t.task, t.attempt, 0});
+      } else if (forget_commands && !m.unanswered_starts.count({t.job, t.task, t.attempt})) {
+        forget_commands->push_back({CommandKind::forget, t.job, t.task, t.attempt, 0});
       }
       continue;
     }
     const Index job_index = job->id;
     listed.emplace_back(job_index, t.task);
-    take_task(m, *job, *a, t, now);  // may drop the job when it is over
+    apply_task_status(m, *job, *a, t, now);  // may drop the job when it is over
     job = find(job_index);
     if (!job) continue;
     auto f = job->attempts.find(t.task);
     if (f == job->attempts.end() || f->second.number != t.attempt) continue;
     Attempt& now_a = f->second;
-    if (now_a.state == AttemptState::ended || !now_a.stop || !stops) continue;
-    if (now_a.state != AttemptState::saving || now_a.grace_s <= 0)
-      stops->push_back({Verb::stop, t.job, t.task, t.attempt, now_a.grace_s});
+    if (now_a.state == AttemptState::ended || !now_a.stop || !stop_commands) continue;
+    if (now_a.state != AttemptState::checkpointing || now_a.grace_s <= 0)
+      stop_commands->push_back({CommandKind::stop, t.job, t.task, t.attempt, now_a.grace_s});
   }
 }
 
 // Whether its start may be ordered: durable, wanted as far as we can know, and for a gang all of it
 // durable.
-bool Core::may_order(const Job& job, const Attempt& a) const {
-  if (a.state != AttemptState::placed || a.stop || job.over() || !may_start_) return false;
-  return !job.gang() || job.proposed == 0;
+bool Scheduler::may_start(const Job& job, const Attempt& a) const {
+  if (a.state != AttemptState::placed || a.stop || job.is_finished() || !starts_allowed_)
+    return false;
+  return !job.is_gang() || job.proposed == 0;
 }
 
-void Core::orders_for(Machine& m, const Report& r, ReportReply& reply, double now) {
+void Scheduler::commands_for(Machine& m, const Heartbeat& r, HeartbeatReply& reply, double now) {
   // The worker has seen our token (on_report), so it executes no older order any more; only then
   // does its silence about a task mean anything (invariant 3).
   Listed listed;
-  std::vector<Order> stops, clears, runs;
-  take_list(m, r, &stops, &clears, listed, now);
+  std::vector<WorkerCommand> stop_commands, forget_commands, runs;
+  apply_task_list(m, r, &stop_commands, &forget_commands, listed, now);
   const auto here = m.tasks;
   for (const auto& [j, t] : here) {
     if (std::find(listed.begin(), listed.end(), std::make_pair(j, t)) != listed.end()) continue;
@@ -339,7 +344,7 @@
     if (a.state == AttemptState::proposed) continue;
     if (a.state != AttemptState::placed) {
       // Reported before and not any more: it left without a word of ours.
-      end_attempt(job, t, Cause::none, now, "its worker no longer lists it");
+      end_attempt(job, t, ExitCause::none, now, "its worker no longer lists it");
       continue;
     }
     if (a.stop) {
@@ -347,26 +352,26 @@
         // A direct `run` may still be executed. Ordered here and stopped at once, the attempt is
         // listed as exited, and the late copy finds it there and has no effect.
         if (!m.direct_in_flight) {
-          runs.push_back({Verb::run, job.spec.id, t, a.number, 0});
-          runs.push_back({Verb::stop, job.spec.id, t, a.number, 0});
+          runs.push_back({CommandKind::start, job.spec.id, t, a.number, 0});
+          runs.push_back({CommandKind::stop, job.spec.id, t, a.number, 0});
         }
       } else {
         // Never ordered by us, or ordered in the answer to an earlier report, which this one
         // settles: the worker either executed it or dropped the answer.
-        end_attempt(job, t, Cause::none, now, "not there, and no order for it is left");
+        end_attempt(job, t, ExitCause::none, now, "not there, and no order for it is left");
       }
       continue;
     }
-    if (!may_order(job, a)) continue;
-    runs.push_back({Verb::run, job.spec.id, t, a.number, 0});
-    a.ordered_session = r.session;
+    if (!may_start(job, a)) continue;
+    runs.push_back({CommandKind::start, job.spec.id, t, a.number, 0});
+    a.ordered_epoch = r.epoch;
     a.ordered_seq = r.seq;
   }
   // Room is made before it is used; a forgotten attempt is cleared before its task's next one.
-  for (auto* list : {&clears, &stops, &runs})
-    reply.orders.insert(reply.orders.end(), list->begin(), list->end());
-  if (reply.orders.size() > 400) reply.orders.resize(400);  // 64 KiB; the rest rides next time
-  for (const Order& o : reply.orders)
+  for (auto* list : {&forget_commands, &stop_commands, &runs})
+    reply.commands.insert(reply.commands.end(), list->begin(), list->end());
+  if (reply.commands.size() > 400) reply.commands.resize(400);  // 64 KiB; the rest rides next time
+  for (const WorkerCommand& o : reply.commands)
     m.unacknowledged_commands.emplace_back(o.verb, o.job, o.task, o.attempt);
 }
 
@@ -375,7 +380,7 @@
 // with our token, makes their next report to it carry the news. And workers of a leader that stands
 // still or fell away wait for its answer first, and then perhaps for that of another node that is
 // gone: until they come, calls tell what runs there and start what waits.
-std::optional<DirectCommand> Core::token_announcement(double now) {
+std::optional<DirectCommand> Scheduler::token_announcement(double now) {
   if (now - started_ < kAnnounceTokenAfter || now < announce_token_at_) return std::nullopt;
   const double expected = expected_by(started_, settings_);
   const auto in_vain = std::count_if(machines_.begin(), machines_.end(), [](const auto& m) {
@@ -387,122 +392,123 @@
     if (m.registered || m.addr.empty() || m.direct_in_flight || m.token_announcements >= 4)
       continue;
     if (m.state != MachineState::booting || now < m.announce_token_at) continue;
-    if (!m.was_up && m.reports_with_older_token == 0) continue;
+    if (!m.was_up && m.heartbeats_with_older_token == 0) continue;
     ++m.token_announcements;
     m.announce_token_at = std::max(now + 3, expected);
     m.direct_in_flight = true;
     DirectCommand d;
     d.machine = m.index;
     d.addr = m.addr;
-    d.session = std::max<uint64_t>(1, m.session);
+    d.epoch = std::max<uint64_t>(1, m.epoch);
     return d;
   }
   announce_token_at_ = now + 0.5;
   return std::nullopt;
 }
 
-std::optional<DirectCommand> Core::next_direct_command(double now) {
-  if (lost_) return std::nullopt;
+std::optional<DirectCommand> Scheduler::next_direct_command(double now) {
+  if (has_lost_leadership_) return std::nullopt;
   for (auto it = direct_command_due_.begin(); it != direct_command_due_.end();) {
     Machine& m = *machines_[*it];
     // Silent machines are left to their reports: an unanswered order is a burden.
-    if (m.direct_in_flight || now < m.direct_after) {
+    if (m.direct_in_flight || now < m.direct_commands_after) {
       ++it;
       continue;
     }
     it = direct_command_due_.erase(it);
     if (!m.registered || m.unreachable() || m.addr.empty() ||
-        now - m.last_report > 1.7 * settings_.report_s)
+        now - m.last_heartbeat > 1.7 * settings_.heartbeat_interval_s)
       continue;
     if (m.state != MachineState::ready && m.state != MachineState::draining) continue;
     DirectCommand d;
     d.machine = m.index;
     d.addr = m.addr;
-    d.session = m.session;
-    std::vector<Order> runs;
+    d.epoch = m.epoch;
+    std::vector<WorkerCommand> runs;
     for (const auto& [j, t] : m.tasks) {
       Job& job = *jobs_[j];
       Attempt& a = job.attempts.at(t);
-      if (may_order(job, a) && a.session == m.session) {
-        runs.push_back({Verb::run, job.spec.id, t, a.number, 0});
+      if (may_start(job, a) && a.epoch == m.epoch) {
+        runs.push_back({CommandKind::start, job.spec.id, t, a.number, 0});
         a.direct = true;
       } else if (a.stop && a.state != AttemptState::ended && a.state != AttemptState::proposed &&
-                 a.state != AttemptState::placed && a.state != AttemptState::saving) {
-        d.orders.push_back({Verb::stop, job.spec.id, t, a.number, a.grace_s});
+                 a.state != AttemptState::placed && a.state != AttemptState::checkpointing) {
+        d.commands.push_back({CommandKind::stop, job.spec.id, t, a.number, a.grace_s});
       }
-      if (runs.size() + d.orders.size() >= 200) break;
+      if (runs.size() + d.commands.size() >= 200) break;
     }
-    d.orders.insert(d.orders.end(), runs.begin(), runs.end());
-    if (d.orders.empty()) continue;
+    d.commands.insert(d.commands.end(), runs.begin(), runs.end());
+    if (d.commands.empty()) continue;
     m.direct_in_flight = true;
     return d;
   }
   return token_announcement(now);
 }
 
-void Core::on_direct_command_result(const DirectCommand& d, bool answered,
-                                    const std::optional<Report>& r, double now) {
+void Scheduler::on_direct_command_result(const DirectCommand& d, bool answered,
+                                         const std::optional<Heartbeat>& r, double now) {
   Machine& m = *machines_[d.machine];
   m.direct_in_flight = false;
-  if (r && r->token > token_) {
-    fail("a worker has seen token " + std::to_string(r->token));
+  if (r && r->fencing_token > fencing_token_) {
+    lose_leadership("a worker has seen token " + std::to_string(r->fencing_token));
     return;
   }
   if (answered) {
-    for (const Order& o : d.orders) {
-      if (o.verb != Verb::run || m.unanswered.count({o.job, o.task, o.attempt})) continue;
+    for (const WorkerCommand& o : d.commands) {
+      if (o.verb != CommandKind::start || m.unanswered_starts.count({o.job, o.task, o.attempt}))
+        continue;
       Job* job = find(job_names_.find(o.job));
       if (!job) continue;
       auto a = job->attempts.find(o.task);
       if (a != job->attempts.end() && a->second.number == o.attempt) a->second.direct = false;
     }
-  } else if (!d.orders.empty()) {
-    m.direct_after = now + 5;
-    for (const Order& o : d.orders)
-      if (o.verb == Verb::run) m.unanswered.insert({o.job, o.task, o.attempt});
+  } else if (!d.commands.empty()) {
+    m.direct_commands_after = now + 5;
+    for (const WorkerCommand& o : d.commands)
+      if (o.verb == CommandKind::start) m.unanswered_starts.insert({o.job, o.task, o.attempt});
   }
-  if (!r || m.state == MachineState::gone) return;
+  if (!r || m.state == MachineState::terminated) return;
   if (!m.registered) {
     // A token announcement. The answer to a call of our own is no late copy.
-    m.session = std::max(m.session, r->session);
-    if (r->token < token_) {
-      if (r->session != d.session) m.announce_token_at = now;  // once more, with its session
+    m.epoch = std::max(m.epoch, r->epoch);
+    if (r->fencing_token < fencing_token_) {
+      if (r->epoch != d.epoch) m.announce_token_at = now;  // once more, with its session
       return;
     }
-    on_report(*r, now);
+    on_heartbeat(*r, now);
     // It still has to find its way to us: its silence means something no sooner than without this.
-    m.last_report = std::max(m.last_report, expected_by(started_, settings_));
+    m.last_heartbeat = std::max(m.last_heartbeat, expected_by(started_, settings_));
     return;
   }
-  if (r->session != m.session || r->seq <= m.seq) return;
+  if (r->epoch != m.epoch || r->seq <= m.seq) return;
   // What it lists counts. What it does not list proves nothing: the answer to a report may be on
   // its way to the worker with an order that this list does not know.
   m.seq = r->seq;
   Listed listed;
-  take_list(m, *r, nullptr, nullptr, listed, now);
+  apply_task_list(m, *r, nullptr, nullptr, listed, now);
 }
 
 // Their reports wait to be read, or went elsewhere: who has fallen silent shows only from now on.
-void Core::slept(double s, double now) {
+void Scheduler::on_process_stall(double s, double now) {
   const auto later = [&](double& t) {
     if (t >= 0) t = std::min(now, t + s);
   };
   for (const auto& m : machines_) {
-    later(m->last_report);
+    later(m->last_heartbeat);
     later(m->unacknowledged_since);
     later(m->older_token_since);
   }
-  many_silent_until_ = -1;
+  mass_silence_until_ = -1;
 }
 
-bool Core::receives_no_reports(double now) const {
+bool Scheduler::receives_no_heartbeats(double now) const {
   size_t registered = 0, silent = 0;
-  const double limit = std::max(2.2 * settings_.report_s, 5.0);
+  const double limit = std::max(2.2 * settings_.heartbeat_interval_s, 5.0);
   for (const auto& m : machines_) {
-    if (m->state == MachineState::gone || !m->registered) continue;
+    if (m->state == MachineState::terminated || !m->registered) continue;
     if (m->reclaim_at >= 0 && now > m->reclaim_at) continue;
     ++registered;
-    if (now - m->last_report > limit) ++silent;
+    if (now - m->last_heartbeat > limit) ++silent;
   }
   return silent >= 2 && silent * 10 >= registered * 7;
 }
