--- a/src/core/core.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "core/core.h"
+#include "scheduler/scheduler.h"
 
 #include <spdlog/spdlog.h>
 
@@ -13,22 +13,23 @@
 constexpr double kUnknownBoot = 60;  // of a machine whose type is not known yet
 }  // namespace
 
-Core::Core(Settings settings, std::vector<TypeInfo> types, uint64_t token, double now)
+Scheduler::Scheduler(Settings settings, std::vector<MachineType> types, uint64_t fencing_token,
+                     double now)
     : settings_(std::move(settings)),
       types_(std::move(types)),
-      token_(token),
+      fencing_token_(fencing_token),
       started_(now),
-      unknown_type_boots_(kUnknownBoot, settings_.tuning.boot_patience),
+      unknown_type_boots_(kUnknownBoot, settings_.tuning.boot_timeout_factor),
       rented_list_(settings_.lasting_value_bytes()) {
   for (const std::string& z : settings_.zones) zone_names_.intern(z);
-  for (const TeamInfo& t : settings_.teams) team_names_.intern(t.name);
-  for (const TypeInfo& t : types_) {
+  for (const TeamQuota& t : settings_.teams) team_names_.intern(t.name);
+  for (const MachineType& t : types_) {
     type_names_.intern(t.name);
     for (const std::string& z : t.zones) zone_names_.intern(z);
     const double ahead =
         settings_.tuning.boot_window_s > 0 ? settings_.tuning.boot_window_s : t.boot_s;
     type_state_.push_back({Forecast(settings_.tuning, ahead),
-                           BootStatistics(t.boot_s, settings_.tuning.boot_patience),
+                           BootStatistics(t.boot_s, settings_.tuning.boot_timeout_factor),
                            0,
                            {},
                            {},
@@ -42,7 +43,7 @@
 
 // ---------------------------------------------------------------- state machines
 
-bool Core::set_state(Job& job, JobState to) {
+bool Scheduler::set_state(Job& job, JobState to) {
   if (job.state == to) return true;
   if (!allowed(job.state, to)) {
     spdlog::error("job {}: no step from {} to {}", job.spec.id, to_string(job.state),
@@ -54,7 +55,7 @@
   return true;
 }
 
-bool Core::set_state(Job& job, Attempt& a, AttemptState to) {
+bool Scheduler::set_state(Job& job, Attempt& a, AttemptState to) {
   if (a.state == to) return true;
   if (!allowed(a.state, to)) {
     spdlog::error("task {}/{} attempt {}: no step from {} to {}", job.spec.id, a.task, a.number,
@@ -67,7 +68,7 @@
   return true;
 }
 
-bool Core::set_state(Machine& m, MachineState to, const char* why) {
+bool Scheduler::set_state(Machine& m, MachineState to, const char* why) {
   if (m.state == to) return true;
   if (!allowed(m.state, to)) {
     spdlog::error("machine {}: no step from {} to {} ({})", m.name, to_string(m.state),
@@ -79,16 +80,16 @@
   return true;
 }
 
-void Core::fail(const std::string& why) {
-  if (!lost_) spdlog::warn("leadership given up: {}", why);
-  lost_ = true;
+void Scheduler::lose_leadership(const std::string& why) {
+  if (!has_lost_leadership_) spdlog::warn("leadership given up: {}", why);
+  has_lost_leadership_ = true;
 }
 
 // ---------------------------------------------------------------- jobs
 
-const Job* Core::find_job(const std::string& id) const { return find(job_names_.find(id)); }
+const Job* Scheduler::find_job(const std::string& id) const { return find(job_names_.find(id)); }
 
-Machine& Core::machine(const std::string& name, double now) {
+Machine& Scheduler::machine(const std::string& name, double now) {
   const Index i = machine_names_.intern(name);
   if (i >= machines_.size()) machines_.resize(i + 1);
   if (!machines_[i]) {
@@ -96,13 +97,13 @@
     machines_[i]->index = i;
     Machine& m = *machines_[i];
     m.name = name;
-    m.rented_at = m.last_report = now;
+    m.rented_at = m.last_heartbeat = now;
     rented_list_.mark_changed(m.index);
   }
   return *machines_[i];
 }
 
-Job& Core::add_job(const MirrorJob& row, const std::string& id, double now) {
+Job& Scheduler::add_job(const CachedJob& row, const std::string& id, double now) {
   const Index i = job_names_.intern(id);
   if (i >= jobs_.size()) {
     jobs_.resize(i + 1);
@@ -116,10 +117,10 @@
   job.spec.id = id;
   job.spec.tasks = row.row.tasks;
   job.version = row.version;
-  job.at_s = row.row.at_s;
+  job.timestamp_s = row.row.timestamp_s;
   job.seen_at = now;
-  if (day_offset_) job.seen_at = std::min(now, job.at_s - *day_offset_);
-  job.per = std::max(1u, row.row.per);
+  if (day_offset_) job.seen_at = std::min(now, job.timestamp_s - *day_offset_);
+  job.chunk_size = std::max(1u, row.row.chunk_size);
   job.job_class = job_class_names_.intern(job.spec.job_class);
   job.team = team_names_.intern(job.spec.team);
   if (team_used_.size() < team_names_.size()) team_used_.resize(team_names_.size());
@@ -131,7 +132,7 @@
       if (const Index k = type_names_.find(t); k != kNone) job.types[k] = true;
   }
   double boot = 1e9;
-  for (const TypeInfo& t : types_) boot = std::min(boot, t.boot_s);
+  for (const MachineType& t : types_) boot = std::min(boot, t.boot_s);
   for (const Objective& o : settings_.objectives)
     if (o.start && o.job_class == job.spec.job_class) {
       job.start_within.push_back(o.within_s);
@@ -140,15 +141,15 @@
       job.has_start_promise = job.has_start_promise || o.within_s < boot;
     }
   // A service is wanted at once, and again at once wherever a replica falls.
-  job.has_start_promise = job.has_start_promise || job.service();
+  job.has_start_promise = job.has_start_promise || job.is_service();
   if (job.has_start_promise) start_promise_images_.insert(job.image);
   std::sort(job.start_within.begin(), job.start_within.end());
-  add_chunks(job, row, now);
+  load_chunks(job, row, now);
   job.done_count = job.done.count();
-  for (const TypeInfo& t : types_)
-    if (const double r = job.spec.each.share_of(t.size); job.share == 0 || r < job.share)
+  for (const MachineType& t : types_)
+    if (const double r = job.spec.per_task.dominant_share(t.size); job.share == 0 || r < job.share)
       job.share = r;
-  if (row.row.standing == ledger::Standing::open) {
+  if (row.row.status == ledger::JobStatus::open) {
     for (const auto& [first, place] : job.chunks) {
       if (place.page == kNone && row.version < unreadable_revision_) continue;
       for (uint32_t t = first; t < first + place.count; ++t)
@@ -164,18 +165,20 @@
 // Tasks of a job as a page has them, and those of them that count.
 struct Piece {
   uint32_t end = 0;
-  const MirrorChunk* chunk = nullptr;
+  const CachedChunk* chunk = nullptr;
 };
 
 // The tasks that a chunk of the ledger is about; empty: they are none of this job's.
-std::optional<ledger::Part> tasks_of(const Job& job, const ChunkKey& key, const MirrorChunk& c) {
-  const uint64_t begin = uint64_t{key.n} * job.per;
-  const uint64_t end = std::min<uint64_t>(job.tasks(), begin + job.per);
+std::optional<ledger::TaskRange> tasks_of(const Job& job, const ChunkKey& key,
+                                          const CachedChunk& c) {
+  const uint64_t begin = uint64_t{key.n} * job.chunk_size;
+  const uint64_t end = std::min<uint64_t>(job.tasks(), begin + job.chunk_size);
   if (begin >= end) return std::nullopt;
-  if (!c.part)
-    return ledger::Part{static_cast<uint32_t>(begin), static_cast<uint32_t>(end - begin)};
-  if (c.part->first < begin || uint64_t{c.part->first} + c.part->count > end) return std::nullopt;
-  return c.part;
+  if (!c.range)
+    return ledger::TaskRange{static_cast<uint32_t>(begin), static_cast<uint32_t>(end - begin)};
+  if (c.range->first < begin || uint64_t{c.range->first} + c.range->count > end)
+    return std::nullopt;
+  return c.range;
 }
 
 // Lays a piece over those that are there: what it covers of them counts no more.
@@ -198,9 +201,9 @@
 }  // namespace
 
 // Takes over what the ledger has of its tasks. Of two pages that hold the same ones, the one that
-// was written last counts (core/ledger.h). What no page holds was never written.
-void Core::add_chunks(Job& job, const MirrorJob& row, double now) {
-  std::vector<std::pair<const ChunkKey*, const MirrorChunk*>> by_version;
+// was written last counts (ledger/rows.h). What no page holds was never written.
+void Scheduler::load_chunks(Job& job, const CachedJob& row, double now) {
+  std::vector<std::pair<const ChunkKey*, const CachedChunk*>> by_version;
   for (const auto& [key, c] : row.chunks) by_version.emplace_back(&key, &c);
   std::stable_sort(by_version.begin(), by_version.end(), [](const auto& a, const auto& b) {
     return a.second->version < b.second->version;
@@ -212,14 +215,14 @@
       spdlog::error("ledger: job {} has no chunk {}", job.spec.id, key->n);
       continue;
     }
-    job.top = std::max(job.top, c->chunk.top);
+    job.highest_attempt = std::max(job.highest_attempt, c->chunk.highest_attempt);
     lay_over(pieces, tasks->first, {tasks->first + tasks->count, c});
-    add_strange(job, *key, *c, *tasks);
+    log_foreign_tasks(job, *key, *c, *tasks);
   }
   uint32_t next = 0;
   const auto add_unwritten = [&](uint32_t end) {
     for (; next < end; next += job.chunks.at(next).count)
-      job.chunks[next] = {std::min(end - next, job.per - next % job.per), kNone};
+      job.chunks[next] = {std::min(end - next, job.chunk_size - next % job.chunk_size), kNone};
   };
   for (const auto& [first, piece] : pieces) {
     add_unwritten(first);
@@ -227,31 +230,33 @@
     if (piece.chunk->page >= pages_.size()) pages_.resize(piece.chunk->page + 1);
     add_to_page(job, first, piece.chunk->page);
     pages_[piece.chunk->page].kind = job.page_kind();
-    add_tasks(job, first, piece.end, piece.chunk->chunk, now);
+    load_tasks(job, first, piece.end, piece.chunk->chunk, now);
     next = piece.end;
   }
   add_unwritten(job.tasks());
 }
 
 // Says which of a chunk's tasks are not its own; they are passed over.
-void Core::add_strange(const Job& job, const ChunkKey& key, const MirrorChunk& c,
-                       const ledger::Part& tasks) const {
+void Scheduler::log_foreign_tasks(const Job& job, const ChunkKey& key, const CachedChunk& c,
+                                  const ledger::TaskRange& tasks) const {
   const uint32_t end = tasks.first + tasks.count;
-  size_t strange = 0;
-  for (const auto& [a, b] : c.chunk.done.ranges()) strange += a < tasks.first || b >= end;
-  for (const ledger::Live& l : c.chunk.live) strange += l.task < tasks.first || l.task >= end;
-  if (strange > 0)
+  size_t foreign = 0;
+  for (const auto& [a, b] : c.chunk.done.ranges()) foreign += a < tasks.first || b >= end;
+  for (const ledger::LiveAttempt& l : c.chunk.live)
+    foreign += l.task < tasks.first || l.task >= end;
+  if (foreign > 0)
     spdlog::error("ledger: chunk {} of job {}: {} entries are not of its tasks", key.n, job.spec.id,
-                  strange);
+                  foreign);
 }
 
 // What a page says of the tasks [first, end).
-void Core::add_tasks(Job& job, uint32_t first, uint32_t end, const ledger::Chunk& chunk,
-                     double now) {
+void Scheduler::load_tasks(Job& job, uint32_t first, uint32_t end, const ledger::Chunk& chunk,
+                           double now) {
   for (const auto& [a, b] : chunk.done.ranges())
     // A replica is never done: version 0.1 wrote that of services, which it took for arrays.
-    for (uint32_t t = std::max(a, first); !job.service() && t < end && t <= b; ++t) job.done.add(t);
-  for (const ledger::Live& l : chunk.live) {
+    for (uint32_t t = std::max(a, first); !job.is_service() && t < end && t <= b; ++t)
+      job.done.add(t);
+  for (const ledger::LiveAttempt& l : chunk.live) {
     // A second attempt of a task is passed over.
     if (l.task < first || l.task >= end || job.attempts.count(l.task)) continue;
     // Invariant 3: what a predecessor committed may run or may yet be ordered by it; it counts
@@ -262,39 +267,39 @@
     a.task = l.task;
     a.number = l.attempt;
     a.machine = m.index;
-    a.session = l.session;
+    a.epoch = l.epoch;
     a.state = AttemptState::placed;
     a.since = now;
     job.attempts[l.task] = a;
     m.tasks.emplace_back(job.id, l.task);
-    m.used += job.spec.each;
-    team_used_[job.team] += job.spec.each;
+    m.used += job.spec.per_task;
+    team_used_[job.team] += job.spec.per_task;
   }
 }
 
-void Core::load(const Mirror& mirror, double now) {
-  load_fleet(mirror, now);
-  for (const auto& [n, page] : mirror.pages()) {
+void Scheduler::load(const LedgerCache& ledger_cache, double now) {
+  load_fleet(ledger_cache, now);
+  for (const auto& [n, page] : ledger_cache.pages()) {
     if (n >= pages_.size()) pages_.resize(n + 1);
     pages_[n].version = page.version;
     pages_[n].readable = page.readable;
     if (!page.readable) unreadable_revision_ = std::max(unreadable_revision_, page.version);
   }
   size_t live = 0;
-  for (const auto& [id, row] : mirror.jobs()) {
+  for (const auto& [id, row] : ledger_cache.jobs()) {
     if (row.version == 0 || !row.readable) {
-      keep_entries(id, row);
+      keep_unreadable_job(id, row);
       continue;
     }
     // What pages still say of a job that is done serves nobody; of a cancelled one, its tasks may
     // still be on machines.
-    if (row.row.standing == ledger::Standing::done) continue;
-    if (row.row.standing == ledger::Standing::aborted && row.chunks.empty()) continue;
+    if (row.row.status == ledger::JobStatus::done) continue;
+    if (row.row.status == ledger::JobStatus::cancelled && row.chunks.empty()) continue;
     Job& job = add_job(row, id, now);
     live += job.attempts.size();
-    if (row.row.standing == ledger::Standing::aborted) {
-      abort_job(job, row, now);
-    } else if (job.gang() && !job.attempts.empty() && !job.waiting.empty()) {
+    if (row.row.status == ledger::JobStatus::cancelled) {
+      cancel_job(job, row, now);
+    } else if (job.is_gang() && !job.attempts.empty() && !job.waiting.empty()) {
       // A gang whose start was committed in part, or that lost a task: it starts anew as a whole.
       for (auto& [t, a] : job.attempts) stop_attempt(job, a, 0);
     }
@@ -304,24 +309,24 @@
 }
 
 // What pages say of a job whose row cannot be read stays in them as it is.
-void Core::keep_entries(const std::string& id, const MirrorJob& row) {
+void Scheduler::keep_unreadable_job(const std::string& id, const CachedJob& row) {
   for (const auto& [key, c] : row.chunks) {
     if (c.page >= pages_.size()) pages_.resize(c.page + 1);
-    pages_[c.page].unreadable_jobs.push_back({id, key.n, c.chunk, c.part});
+    pages_[c.page].unreadable_jobs.push_back({id, key.n, c.chunk, c.range});
     pages_[c.page].reserved +=
         ledger::chunk_reserve(id, static_cast<uint32_t>(c.chunk.live.size()));
   }
 }
 
-void Core::on_job_row(const MirrorJob& row, const std::string& id, double now) {
+void Scheduler::on_job_row(const CachedJob& row, const std::string& id, double now) {
   const Index known = job_names_.find(id);
   // An older row of a job that is over, seen late, must not bring it back (rule went_back).
   if (known != kNone && known < finished_.size() && finished_[known]) return;
   Job* have = find(known);
   if (!have) {
-    if (row.row.standing == ledger::Standing::open) {
+    if (row.row.status == ledger::JobStatus::open) {
       add_job(row, id, now);
-      wants_round_ = true;
+      needs_round_ = true;
       spdlog::debug("job {}: {} tasks of {}", id, row.row.tasks, row.row.spec->job_class);
     }
     return;
@@ -329,33 +334,35 @@
   Job& job = *have;
   if (row.version <= job.version) return;
   job.stale_since = -1;
-  if (row.row.standing == ledger::Standing::aborted) {
-    abort_job(job, row, now);
-  } else if (row.row.standing == ledger::Standing::done && job.state != JobState::done) {
+  if (row.row.status == ledger::JobStatus::cancelled) {
+    cancel_job(job, row, now);
+  } else if (row.row.status == ledger::JobStatus::done && job.state != JobState::done) {
     // Only a leader writes this, and a flight of ours is still open: its result will say so.
-    if (job.state != JobState::closing) fail("job " + id + " was closed by somebody else");
+    if (job.state != JobState::closing)
+      lose_leadership("job " + id + " was closed by somebody else");
   }
 }
 
-void Core::abort_job(Job& job, const MirrorJob& row, double now) {
-  if (job.over()) return;
-  if (!set_state(job, JobState::aborted)) return;
+void Scheduler::cancel_job(Job& job, const CachedJob& row, double now) {
+  if (job.is_finished()) return;
+  if (!set_state(job, JobState::cancelled)) return;
   job.version = row.version;
   // Not since we heard of it: cancel_s does not begin anew with each leader.
-  job.aborted_at = now;
-  if (day_offset_ && row.row.at_s > 0) job.aborted_at = std::min(now, row.row.at_s - *day_offset_);
+  job.cancelled_at = now;
+  if (day_offset_ && row.row.timestamp_s > 0)
+    job.cancelled_at = std::min(now, row.row.timestamp_s - *day_offset_);
   job.stale_since = -1;
   job.waiting.clear();
   closing_.erase(job.id);
   // Nobody has any use for what its tasks do: no time to save. Proposals whose transaction is in
   // flight are settled by its result; the job's version changed, so most will fail.
   for (auto& [t, a] : job.attempts) stop_attempt(job, a, 0);
-  drop_if_over(job.id);
+  erase_if_finished(job.id);
 }
 
-void Core::drop_if_over(Index id) {
+void Scheduler::erase_if_finished(Index id) {
   Job* job = find(id);
-  if (!job || !job->over() || job->in_flight_transactions > 0) return;
+  if (!job || !job->is_finished() || job->in_flight_transactions > 0) return;
   // An aborted job's ended attempts need no transaction: its row already says what counts.
   for (auto a = job->attempts.begin(); a != job->attempts.end();) {
     const uint32_t task = a->first;
@@ -369,7 +376,7 @@
 
 // Its chunks leave their pages with the next write of these; until then a new leader sees by the
 // job's row that they mean nothing.
-void Core::erase_job(Job& job) {
+void Scheduler::erase_job(Job& job) {
   const Index id = job.id;
   drop_from_pages(job);
   closing_.erase(id);
@@ -378,7 +385,7 @@
   jobs_[id].reset();
 }
 
-void Core::stop_attempt(Job& job, Attempt& a, double grace) {
+void Scheduler::stop_attempt(Job& job, Attempt& a, double grace) {
   if (a.state == AttemptState::ended) return;
   if (a.stop && grace >= a.grace_s) return;
   if (!a.stop)
@@ -391,14 +398,14 @@
 
 // A gang saves only when all its tasks are told to within gang_peer_s, so the orders for all go out
 // with the next reports, whichever machine has to be left.
-void Core::stop_with_gang(Job& job, Attempt& a, double grace) {
-  if (!job.gang()) return stop_attempt(job, a, grace);
+void Scheduler::stop_with_gang(Job& job, Attempt& a, double grace) {
+  if (!job.is_gang()) return stop_attempt(job, a, grace);
   const uint64_t number = a.number;
   for (auto& [t, other] : job.attempts)
     if (other.number == number) stop_attempt(job, other, grace);
 }
 
-void Core::end_attempt(Job& job, uint32_t task, Cause cause, double now, const char* why) {
+void Scheduler::end_attempt(Job& job, uint32_t task, ExitCause cause, double now, const char* why) {
   auto it = job.attempts.find(task);
   if (it == job.attempts.end() || it->second.state == AttemptState::ended) return;
   Attempt& a = it->second;
@@ -408,45 +415,46 @@
   spdlog::debug("task {}/{} attempt {} is off ({}, cause {})", job.spec.id, task, a.number, why,
                 static_cast<int>(cause));
   vacate(job, a);
-  if (job.state == JobState::aborted) {
-    drop_if_over(job.id);
+  if (job.state == JobState::cancelled) {
+    erase_if_finished(job.id);
     return;
   }
   // A task that has to run again waits for this write.
-  Wait waits = cause != Cause::done ? Wait::again : Wait::nobody;
-  if (job.service()) {
-    waits = Wait::replica;
+  WriteUrgency write_urgency =
+      cause != ExitCause::done ? WriteUrgency::restart : WriteUrgency::none;
+  if (job.is_service()) {
+    write_urgency = WriteUrgency::replica;
     job.missing_since = now;
   }
-  mark_dirty(job, task, waits, now);
+  mark_dirty(job, task, write_urgency, now);
   after_end(job, a, now);
 }
 
 // Gives back what an attempt takes of its machine and its team.
-void Core::vacate(Job& job, const Attempt& a) {
+void Scheduler::vacate(Job& job, const Attempt& a) {
   Machine& m = *machines_[a.machine];
   std::erase(m.tasks, std::make_pair(job.id, a.task));
-  m.used -= job.spec.each;
+  m.used -= job.spec.per_task;
   if (m.tasks.empty()) m.used = {};
-  team_used_[job.team] -= job.spec.each;
+  team_used_[job.team] -= job.spec.per_task;
 }
 
 // Whether all attempts of a gang that have not ended wait for the others, as far as we know.
-bool Core::still_gathers(const Job& job) const {
+bool Scheduler::still_gathers(const Job& job) const {
   bool any = false;
   for (const auto& [t, a] : job.attempts) {
     if (a.state == AttemptState::ended) continue;
-    if (a.stop || a.state > AttemptState::gathering) return false;
+    if (a.stop || a.state > AttemptState::gang_waiting) return false;
     any = true;
   }
   return any;
 }
 
-void Core::after_end(Job& job, const Attempt& a, double now) {
-  const bool of_itself = a.cause != Cause::none && a.cause != Cause::halted;
-  if (job.service() && of_itself) back_off_replica(job, a, now);
-  if (a.cause == Cause::done && !job.service()) {
-    if (job.gang()) {
+void Scheduler::after_end(Job& job, const Attempt& a, double now) {
+  const bool of_itself = a.cause != ExitCause::none && a.cause != ExitCause::stopped;
+  if (job.is_service() && of_itself) back_off_replica(job, a, now);
+  if (a.cause == ExitCause::done && !job.is_service()) {
+    if (job.is_gang()) {
       // A gang's tasks complete together: one that is done proves all done.
       for (uint32_t t = 0; t < job.tasks(); ++t)
         if (!job.done.has(t)) job.done.add(t);
@@ -454,24 +462,25 @@
       job.done.add(a.task);
     }
     job.done_count = job.done.count();
-    job.erred_on.clear();
+    job.failed_machines.clear();
     job.errors = 0;
     if (job.done_count == job.tasks()) closing_.insert(job.id);
     return;
   }
-  if (job.gang()) {
+  if (job.is_gang()) {
     // A gang that still gathers waits for a replacement, if the worker that was lost can hold
     // nothing of this attempt any more. Otherwise the rest cannot go on without it; what does not
     // leave by itself is stopped.
-    if (a.cause != Cause::none || !still_gathers(job))
+    if (a.cause != ExitCause::none || !still_gathers(job))
       for (auto& [t, other] : job.attempts)
         if (other.number == a.number) stop_attempt(job, other, 0);
   }
-  if (a.cause == Cause::no_such || a.cause == Cause::no_room || a.cause == Cause::in_use)
+  if (a.cause == ExitCause::unknown_task || a.cause == ExitCause::insufficient_resources ||
+      a.cause == ExitCause::already_present)
     job.not_before = std::max(job.not_before, now + 1.0);
 }
 
-void Core::release(Job& job, uint32_t task) {
+void Scheduler::release(Job& job, uint32_t task) {
   auto it = job.attempts.find(task);
   if (it == job.attempts.end()) return;
   Attempt& a = it->second;
@@ -484,26 +493,26 @@
   if (job.state == JobState::open && !job.done.has(task)) job.waiting.insert(task);
 }
 
-void Core::round(double now) {
-  if (lost_) return;
-  wants_round_ = false;
+void Scheduler::round(double now) {
+  if (has_lost_leadership_) return;
+  needs_round_ = false;
   ++work_.rounds;
-  watch_machines(now);
+  check_machines(now);
   if (now >= next_sample_) {
     sample_demand(now);
     next_sample_ = std::max(next_sample_ + settings_.tuning.sample_s, now);
   }
   for (const auto& job : jobs_)
-    if (job && job->stale() && now - job->stale_since > kStaleFor) {
+    if (job && job->is_stale() && now - job->stale_since > kStaleFor) {
       // Known to the end: a row that contradicts us and that no watch brings is read from scratch.
-      fail("the row of job " + job->spec.id + " is not as we know it");
+      lose_leadership("the row of job " + job->spec.id + " is not as we know it");
       return;
     }
   place(now);
   plan_fleet(now);
 }
 
-Core::Summary Core::summary(double now) const {
+Scheduler::Summary Scheduler::summary(double now) const {
   Summary s;
   for (const auto& job : jobs_) {
     if (!job) continue;
@@ -512,11 +521,11 @@
     s.live += job->attempts.size();
   }
   for (const auto& m : machines_) {
-    if (m->state == MachineState::gone) continue;
+    if (m->state == MachineState::terminated) continue;
     if (m->state == MachineState::ready) ++s.ready;
     if (m->state == MachineState::booting) ++s.booting;
     if (m->state == MachineState::draining) ++s.draining;
-    if (m->registered && now - m->last_report > silence_limit()) ++s.silent;
+    if (m->registered && now - m->last_heartbeat > silence_limit()) ++s.silent;
   }
   for (const TypeState& t : type_state_) s.target += t.target;
   return s;
--- a/src/core/core.h
+++ b/src/scheduler/scheduler.h
@@ -21,61 +21,61 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/boot_statistics.h"
-#include "core/effects.h"
-#include "core/forecast.h"
-#include "core/job.h"
-#include "core/ledger.h"
-#include "core/machine.h"
-#include "core/mirror.h"
-#include "core/page.h"
-#include "core/rented_list.h"
-#include "core/settings.h"
-#include "core/states.h"
-#include "core/types.h"
+#include "fleet/boot_statistics.h"
+#include "fleet/forecast.h"
+#include "ledger/ledger_cache.h"
+#include "ledger/page.h"
+#include "ledger/rented_list.h"
+#include "ledger/rows.h"
+#include "model/job.h"
+#include "model/machine.h"
+#include "model/scheduler_messages.h"
+#include "model/settings.h"
+#include "model/states.h"
+#include "model/types.h"
 
 namespace rookdyke {
 
 // More than a task needs to save, so that a save begun in time is not cut short by rounding.
 inline constexpr double kGraceMargin = 1;
 
-class Core {
+class Scheduler {
  public:
-  Core(Settings settings, std::vector<TypeInfo> types, uint64_t token, double now);
+  Scheduler(Settings settings, std::vector<MachineType> types, uint64_t fencing_token, double now);
 
   // The time of day minus the steady clock; lets a job's age be known after a failover.
   void set_day_offset(double s) { day_offset_ = s; }
-  // Takes over: everything committed so far, as the mirror holds it behind a read barrier.
-  void load(const Mirror& mirror, double now);
+  // Takes over: everything committed so far, as the ledger cache holds it behind a read barrier.
+  void load(const LedgerCache& ledger_cache, double now);
   // Which images machines hold, as far as is known: a hint for a successor, which would otherwise
   // have everything fetched anew. Nothing correct rests on it.
-  nlohmann::json image_hints() const;
-  void take_image_hints(const nlohmann::json& hints, double now);
+  nlohmann::json image_locations() const;
+  void load_image_locations(const nlohmann::json& hints, double now);
   // A job's row appeared or changed (users' submissions and aborts).
-  void on_job_row(const MirrorJob& row, const std::string& id, double now);
-  void set_prices(const std::vector<TypeInfo>& types);
+  void on_job_row(const CachedJob& row, const std::string& id, double now);
+  void set_prices(const std::vector<MachineType>& types);
 
-  ReportReply on_report(const Report& report, double now);
+  HeartbeatReply on_heartbeat(const Heartbeat& report, double now);
 
   // Direct commands: starts that are durable, and stops, for one machine at a time.
   std::optional<DirectCommand> next_direct_command(double now);
   // answered: the worker executed (or refused) them and its report came back.
   void on_direct_command_result(const DirectCommand& d, bool answered,
-                                const std::optional<Report>& report, double now);
+                                const std::optional<Heartbeat>& report, double now);
   // Something happened that a round should look at soon.
-  bool wants_round() const { return wants_round_; }
+  bool needs_round() const { return needs_round_; }
 
   // This process stood still for so long: the machines' silence meanwhile was its own.
-  void slept(double s, double now);
+  void on_process_stall(double s, double now);
 
   // One round of decisions.
   void round(double now);
   // What a leader in doubt may still decide: machines that keep cancelled work go. It starts
   // nothing.
-  void watch_cancelled(double now);
+  void release_cancelled_work(double now);
   // Whether reports may be answered with starts: not by a leader that may not have heard of the
   // latest cancellations.
-  void allow_starts(bool allowed) { may_start_ = allowed; }
+  void allow_starts(bool allowed) { starts_allowed_ = allowed; }
 
   // Transactions: at most one in flight per chunk.
   // `room`: so many changes may be made at once; a single row always may.
@@ -92,15 +92,15 @@
   // A list read from the cloud, asked for at `asked`.
   void on_machine_list(const std::vector<ListedMachine>& list, double asked, double now);
 
-  uint64_t token() const { return token_; }
+  uint64_t fencing_token() const { return fencing_token_; }
   // A condition on the leader key failed, or the ledger contradicts us: stop leading.
   // The state service has lowered its limits to Settings::next_limits: what is larger is split.
-  void lower_limits();
-  bool has_lowered_limits() const { return has_lowered_limits_; }
+  void apply_lowered_limits();
+  bool uses_lowered_limits() const { return uses_lowered_limits_; }
 
-  bool lost() const { return lost_; }
+  bool has_lost_leadership() const { return has_lost_leadership_; }
   // Most machines that reported to us have fallen silent: the silence is likely ours.
-  bool receives_no_reports(double now) const;
+  bool receives_no_heartbeats(double now) const;
 
   size_t backlog() const;  // waiting tasks and unsent transactions, for the round's width
   struct Summary {
@@ -127,24 +127,24 @@
   // -- core.cpp
   Job* find(Index job) { return job < jobs_.size() ? jobs_[job].get() : nullptr; }
   const Job* find(Index job) const { return job < jobs_.size() ? jobs_[job].get() : nullptr; }
-  Job& add_job(const MirrorJob& row, const std::string& id, double now);
-  void add_chunks(Job& job, const MirrorJob& row, double now);
-  void add_strange(const Job& job, const ChunkKey& key, const MirrorChunk& c,
-                   const ledger::Part& tasks) const;
-  void add_tasks(Job& job, uint32_t first, uint32_t end, const ledger::Chunk& chunk, double now);
-  void keep_entries(const std::string& id, const MirrorJob& row);
-  void abort_job(Job& job, const MirrorJob& row, double now);
-  void drop_if_over(Index id);
+  Job& add_job(const CachedJob& row, const std::string& id, double now);
+  void load_chunks(Job& job, const CachedJob& row, double now);
+  void log_foreign_tasks(const Job& job, const ChunkKey& key, const CachedChunk& c,
+                         const ledger::TaskRange& tasks) const;
+  void load_tasks(Job& job, uint32_t first, uint32_t end, const ledger::Chunk& chunk, double now);
+  void keep_unreadable_job(const std::string& id, const CachedJob& row);
+  void cancel_job(Job& job, const CachedJob& row, double now);
+  void erase_if_finished(Index id);
   void erase_job(Job& job);
   Machine& machine(const std::string& name, double now);
-  void end_attempt(Job& job, uint32_t task, Cause cause, double now, const char* why);
+  void end_attempt(Job& job, uint32_t task, ExitCause cause, double now, const char* why);
   void vacate(Job& job, const Attempt& a);
   bool still_gathers(const Job& job) const;
   void after_end(Job& job, const Attempt& a, double now);
   void release(Job& job, uint32_t task);  // forget an attempt whose removal is durable
   void stop_attempt(Job& job, Attempt& a, double grace);
   void stop_with_gang(Job& job, Attempt& a, double grace);
-  void mark_dirty(Job& job, uint32_t task, Wait waits, double now);
+  void mark_dirty(Job& job, uint32_t task, WriteUrgency write_urgency, double now);
   Index page_for(size_t bytes, PageKind kind);
   bool proposal_stands(const Attempt& a) const;
   void void_proposals(Job& job, bool all);
@@ -159,7 +159,7 @@
   size_t page_room() const;
   void split_large_chunks(Index page);
   void split_chunk(Job& job, uint32_t first);
-  bool relieve(Index page, double now);
+  bool split_page(Index page, double now);
   Index empty_page(PageKind kind);
   void add_to_page(Job& job, uint32_t first, Index page);
   void remove_from_page(Job& job, uint32_t first);
@@ -167,30 +167,30 @@
   Index next_page(double now) const;
   std::optional<PendingTransaction> closing_transaction(double now, size_t room);
   void take_rejection(const InFlightTransaction& f);
-  std::string mark_of(uint64_t txn) const;
-  void fail(const std::string& why);
+  std::string transaction_id_of(uint64_t txn) const;
+  void lose_leadership(const std::string& why);
   void settle_page(const InFlightTransaction& f, const ledger::Result& r, double now);
   void settle_closing(const InFlightTransaction& f, const ledger::Result& r);
 
   // -- reports.cpp
-  void register_report(Machine& m, const Report& r, double now);
-  void take_task(Machine& m, Job& job, Attempt& a, const TaskReport& t, double now);
+  void record_heartbeat(Machine& m, const Heartbeat& r, double now);
+  void apply_task_status(Machine& m, Job& job, Attempt& a, const TaskStatus& t, double now);
   bool faulty(const Job& job) const;
-  void judge_error(Machine& m, Job& job, double now);
+  void record_error(Machine& m, Job& job, double now);
   using Listed = std::vector<std::pair<Index, uint32_t>>;
-  void take_list(Machine& m, const Report& r, std::vector<Order>* stops, std::vector<Order>* clears,
-                 Listed& listed, double now);
-  void note_acknowledged_commands(Machine& m, const Report& r);
+  void apply_task_list(Machine& m, const Heartbeat& r, std::vector<WorkerCommand>* stop_commands,
+                       std::vector<WorkerCommand>* forget_commands, Listed& listed, double now);
+  void note_acknowledged_commands(Machine& m, const Heartbeat& r);
   std::optional<DirectCommand> token_announcement(double now);
-  void orders_for(Machine& m, const Report& r, ReportReply& reply, double now);
-  bool may_order(const Job& job, const Attempt& a) const;
+  void commands_for(Machine& m, const Heartbeat& r, HeartbeatReply& reply, double now);
+  bool may_start(const Job& job, const Attempt& a) const;
   void on_reclaim_notice(Machine& m, double notice_s, double now);
   void touch_image(Machine& m, const Job& job, double now);
 
   // -- placement.cpp
   void place(double now);
-  bool place_array(Job& job, double now, int& budget, bool warm_only);
-  bool place_gang(Job& job, double now, int& budget, bool warm_only);
+  bool place_array(Job& job, double now, int& limiter, bool warm_only);
+  bool place_gang(Job& job, double now, int& limiter, bool warm_only);
   bool needs_warm(const Job& job, double now) const;
   struct Place {
     double score = 0;
@@ -207,11 +207,11 @@
                             bool warm_only = false);
   bool warm(const Job& job, const Machine& m) const;
   void claim(const Job& job, const std::vector<Place>& free, double now);
-  void place_job(Job& job, double now, int& budget, bool preempt);
-  static bool lacks_what_it_takes(const Job& job, const Amounts& room, const Job& victim);
+  void place_job(Job& job, double now, int& limiter, bool preempt);
+  static bool lacks_what_it_takes(const Job& job, const Resources& room, const Job& victim);
   std::vector<Eviction> evictions(const Job& job, double now);
   void gather_open(double now);
-  Amounts free_on(const Machine& m) const;
+  Resources free_on(const Machine& m) const;
   bool has_room(const Machine& m) const;
   bool known_full(const Job& job, uint32_t count) const;
   bool takes_work(const Machine& m, double now) const;
@@ -223,7 +223,7 @@
   void preempt_for(Job& job, double now, bool warm_only);
   bool may_stop(const Job& job, const Job& victim) const;
   double frees_at(const Job& job, const Machine& m, double now) const;
-  void set_aside(Job& job, double now);
+  void reserve_machines(Job& job, double now);
   void find_guaranteed();
   bool starved(const Job& job, double now) const;
   uint32_t starved_share(const Job& job) const;
@@ -234,8 +234,9 @@
   struct ReplicaCounts {
     std::map<Index, uint32_t> by_machine, by_zone;
   };
-  double replica_score(const Job& job, const Place& place, const ReplicaCounts& counts) const;
-  bool place_service(Job& job, double now, int& budget);
+  double replica_score(const Job& job, const Place& place,
+                       const ReplicaCounts& counts_as_capacity) const;
+  bool place_service(Job& job, double now, int& limiter);
   void back_off_replica(Job& job, const Attempt& a, double now);
   void note_replica_runs(Machine& m, Job& job, Attempt& a, double now);
   uint32_t missing_replicas(const Job& job) const;
@@ -254,10 +255,10 @@
     BootStatistics boots;
     double target = 0;
 
-    Amounts demand, ordinary;  // ordinary: of jobs that may not use spot machines
+    Resources demand, ordinary;  // ordinary: of jobs that may not use spot machines
     // Of jobs that can run in that zone alone: bound to it, begun there, or spread over two.
     struct Bound {
-      Amounts all, ordinary;                 // of jobs bound to it
+      Resources all, ordinary;               // of jobs bound to it
       double largest = 0, largest_dear = 0;  // in machines, of one that could go elsewhere too
     };
     std::map<Index, Bound> bound;  // by zone
@@ -267,10 +268,10 @@
   void record_boot(const Machine& m, double now);
   const BootStatistics& boots_of(const Machine& m) const;
   void update_boots(double now);
-  void bind_demand(const Job& job, Index type, const Amounts& demand,
-                   const MachineCounts& machines);
+  void add_zone_demand(const Job& job, Index type, const Resources& demand,
+                       const MachineCounts& machines);
   MachineCounts count_machines() const;
-  double machines_for(Index type, const Amounts& demand) const;
+  double machines_for(Index type, const Resources& demand) const;
   double floor_of(Index type, const TypeState::Bound& b, bool ordinary) const;
   bool reuse_draining(Index type, Index zone, bool ordinary);
   bool rent(Index type, Index zone, bool spot, double count, double now);
@@ -278,37 +279,37 @@
   void plan_fleet(double now);
   void plan_type(Index type, double now);
   void drain_surplus(Index type, double now);
-  void watch_machines(double now);
+  void check_machines(double now);
   void drain(Machine& m, double now, const char* why);
   void terminate(Machine& m, const char* why);
-  bool counts(const Machine& m, double now) const;
-  Index home(const Job& job) const;
+  bool counts_as_capacity(const Machine& m, double now) const;
+  Index demand_type(const Job& job) const;
   double silence_limit() const;
   double patience() const;
   double waits_for(const Machine& m) const;
   double registration_limit(const Machine& m) const;
-  bool many_silent(double now) const;
+  bool is_mass_silence(double now) const;
   bool holds_cancelled(const Machine& m) const;
   bool holds_overdue(const Machine& m, double now) const;
   void drop_machine(Machine& m, double now, const char* why);
   std::optional<PendingTransaction> fleet_transaction(double now);
-  void load_fleet(const Mirror& mirror, double now);
+  void load_fleet(const LedgerCache& ledger_cache, double now);
 
   Settings settings_;
-  std::vector<TypeInfo> types_;
-  uint64_t token_;
+  std::vector<MachineType> types_;
+  uint64_t fencing_token_;
   double started_;
   double announce_token_at_ = 0;
-  bool lost_ = false;
-  bool has_lowered_limits_ = false;
-  bool wants_round_ = false;
-  bool may_start_ = true;
-  bool many_silent_ = false;
-  double many_silent_until_ = -1;
+  bool has_lost_leadership_ = false;
+  bool uses_lowered_limits_ = false;
+  bool needs_round_ = false;
+  bool starts_allowed_ = true;
+  bool mass_silence_ = false;
+  double mass_silence_until_ = -1;
   std::optional<double> day_offset_;
   std::set<Index> direct_command_due_;  // machines with orders worth sending at once
 
-  Names job_names_, machine_names_, zone_names_, team_names_, image_names_, job_class_names_,
+  NameTable job_names_, machine_names_, zone_names_, team_names_, image_names_, job_class_names_,
       type_names_;
   std::vector<std::unique_ptr<Job>> jobs_;  // by job index; empty: over, or unknown
   std::vector<bool> finished_;  // by job index: over and forgotten, never taken up again
@@ -321,30 +322,30 @@
 
   // Of one round.
   struct Full {  // no room for so many tasks of that size
-    Amounts each;
+    Resources per_task;
     Index zone;
     std::vector<bool> types;
-    bool spot, one_zone;
+    bool spot, single_zone;
     uint32_t count;
   };
   struct Hopeless {  // nothing could be stopped for such a job
-    Rank rank;
+    Priority priority;
     Index zone;
     std::vector<bool> types;
-    bool spot, one_zone;
+    bool spot, single_zone;
     uint32_t more;
     double share;
   };
   std::vector<Index> open_;
-  std::vector<std::pair<Index, Amounts>> claims_;  // places kept for gangs, counted as used
+  std::vector<std::pair<Index, Resources>> claims_;  // places kept for gangs, counted as used
   std::vector<Full> full_;
   std::vector<Hopeless> hopeless_;
-  Amounts least_;  // component by component, of the waiting tasks
+  Resources least_;  // component by component, of the waiting tasks
   size_t aside_ = 0, ready_ = 0;
   double preempt_at_ = 0;
   Work work_;
 
-  std::vector<Amounts> team_used_;  // by team index
+  std::vector<Resources> team_used_;  // by team index
 
   uint64_t next_txn_ = 0, next_rental_number_ = 0;
   struct InFlightTransaction {
--- a/src/core/services.cpp
+++ b/src/scheduler/services.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/core.h"
+#include "scheduler/scheduler.h"
 
 namespace rookdyke {
 
@@ -26,24 +26,25 @@
 // Of a service's replicas, the share that may be missing for a move; one in any case.
 constexpr double kMostMoving = 0.25;
 // A recall leaves no time to move replicas one after the other if it comes this soon.
-constexpr double kShortNoticeReports = 1.5;  // report intervals
+constexpr double kShortNoticeHeartbeats = 1.5;  // report intervals
 
 }  // namespace
 
-double Core::replica_score(const Job& job, const Place& place, const ReplicaCounts& counts) const {
+double Scheduler::replica_score(const Job& job, const Place& place,
+                                const ReplicaCounts& counts) const {
   const Machine& m = *machines_[place.machine];
   double s = place.score;
   if (m.spot) s += kOrdinaryPreference;
   if (auto n = counts.by_machine.find(m.index); n != counts.by_machine.end())
     s += kApartMachines * n->second;
-  if (auto n = counts.by_zone.find(m.zone); n != counts.by_zone.end() && !job.spec.one_zone)
+  if (auto n = counts.by_zone.find(m.zone); n != counts.by_zone.end() && !job.spec.single_zone)
     s += kApartZones * n->second;
   return s;
 }
 
 // Each replica goes where it starts soonest and is apart from the others. False: machines are
 // lacking.
-bool Core::place_service(Job& job, double now, int& budget) {
+bool Scheduler::place_service(Job& job, double now, int& limiter) {
   if (!within_limit(job, 1)) return true;  // its own limit, not the machines, holds it back
   if (known_full(job, 1)) return false;
   ReplicaCounts counts;
@@ -58,7 +59,7 @@
   uint32_t most = UINT32_MAX;
   if (faulty(job)) most = starting ? 0 : 1;
   std::vector<Place> candidates = places(job, now);
-  while (!job.waiting.empty() && budget > 0 && most > 0 && within_limit(job, 1)) {
+  while (!job.waiting.empty() && limiter > 0 && most > 0 && within_limit(job, 1)) {
     Place* best = nullptr;
     double best_score = 0;
     for (Place& p : candidates) {
@@ -70,9 +71,9 @@
       best_score = s;
     }
     if (!best) return false;
-    propose(job, *job.waiting.begin(), job.top + 1, best->machine, now);
+    propose(job, *job.waiting.begin(), job.highest_attempt + 1, best->machine, now);
     --best->slots;
-    --budget;
+    --limiter;
     --most;
     ++counts.by_machine[best->machine];
     ++counts.by_zone[machines_[best->machine]->zone];
@@ -82,9 +83,9 @@
 }
 
 // A replica has ended without our word: it runs again, later if it ends at once each time.
-void Core::back_off_replica(Job& job, const Attempt& a, double now) {
+void Scheduler::back_off_replica(Job& job, const Attempt& a, double now) {
   const bool ran = a.running_since > 0 && now - a.running_since > kProvenAfter;
-  if (ran || a.cause == Cause::error) return;  // errors are judged with their machine
+  if (ran || a.cause == ExitCause::error) return;  // errors are judged with their machine
   ++job.errors;
   const double wait =
       std::min(kLongestBackOff, kFirstBackOff * std::exp2(std::min(job.errors, 6u)));
@@ -92,62 +93,62 @@
 }
 
 // A replica never exits with success: that it runs on for a while takes its place.
-void Core::note_replica_runs(Machine& m, Job& job, Attempt& a, double now) {
+void Scheduler::note_replica_runs(Machine& m, Job& job, Attempt& a, double now) {
   if (a.proven || a.state != AttemptState::running || now - a.running_since < kProvenAfter) return;
   a.proven = true;
-  job.erred_on.clear();
+  job.failed_machines.clear();
   job.errors = 0;
-  m.err_jobs.clear();
+  m.failed_jobs.clear();
   m.suspect_until = 0;
 }
 
-uint32_t Core::missing_replicas(const Job& job) const {
+uint32_t Scheduler::missing_replicas(const Job& job) const {
   auto missing = static_cast<uint32_t>(job.waiting.size());
   for (const auto& [t, a] : job.attempts)
     missing += a.stop || a.state == AttemptState::ended || a.state < AttemptState::running;
   return missing;
 }
 
-bool Core::may_move_replica(const Job& job) const {
+bool Scheduler::may_move_replica(const Job& job) const {
   const double most = std::max(1.0, kMostMoving * job.tasks());
   return missing_replicas(job) + 1 <= static_cast<uint32_t>(most);
 }
 
 // Whether one of its replicas could start at once on another machine; better one with its image.
-bool Core::has_other_place(const Job& job, const Machine& from, double now) const {
+bool Scheduler::has_other_place(const Job& job, const Machine& from, double now) const {
   return std::any_of(machines_.begin(), machines_.end(), [&](const auto& m) {
     if (m->index == from.index || m->state != MachineState::ready || !takes_work(*m, now))
       return false;
-    return may_run(job, *m, now) && job.spec.each.fits(free_on(*m)) &&
+    return may_run(job, *m, now) && job.spec.per_task.fits_in(free_on(*m)) &&
            (m->zone == from.zone || zone_allows(job, m->zone, 1));
   });
 }
 
-bool Core::holds_replicas(const Machine& m) const {
+bool Scheduler::holds_replicas(const Machine& m) const {
   return std::any_of(m.tasks.begin(), m.tasks.end(),
-                     [this](const auto& t) { return jobs_[t.first]->service(); });
+                     [this](const auto& t) { return jobs_[t.first]->is_service(); });
 }
 
-bool Core::holds_replicas_alone(const Machine& m) const {
+bool Scheduler::holds_replicas_alone(const Machine& m) const {
   return !m.tasks.empty() && std::all_of(m.tasks.begin(), m.tasks.end(), [this](const auto& t) {
-    return jobs_[t.first]->service();
+    return jobs_[t.first]->is_service();
   });
 }
 
 // The machine is to go: its replicas run again elsewhere, few of a service at once.
-void Core::move_replicas(Machine& m, double now) {
+void Scheduler::move_replicas(Machine& m, double now) {
   for (const auto& [j, t] : m.tasks) {
     Job& job = *jobs_[j];
     Attempt& a = job.attempts.at(t);
-    if (!job.service() || a.stop || a.state == AttemptState::proposed) continue;
+    if (!job.is_service() || a.stop || a.state == AttemptState::proposed) continue;
     if (!may_move_replica(job) || !has_other_place(job, m, now)) continue;
     stop_attempt(job, a, 0);
   }
 }
 
 // The machine is recalled: what runs there ends anyway.
-void Core::recall_replica(Job& job, Attempt& a, double notice_s) {
-  const bool short_notice = notice_s < kShortNoticeReports * settings_.report_s;
+void Scheduler::recall_replica(Job& job, Attempt& a, double notice_s) {
+  const bool short_notice = notice_s < kShortNoticeHeartbeats * settings_.heartbeat_interval_s;
   if (short_notice || may_move_replica(job)) stop_attempt(job, a, 0);
 }
 
--- a/src/core/transactions.cpp
+++ b/src/scheduler/transactions.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "core/core.h"
+#include "scheduler/scheduler.h"
 
 namespace rookdyke {
 
@@ -29,13 +29,13 @@
 
 }  // namespace
 
-std::string Core::mark_of(uint64_t txn) const {
-  return std::to_string(token_) + "." + std::to_string(txn);
+std::string Scheduler::transaction_id_of(uint64_t txn) const {
+  return std::to_string(fencing_token_) + "." + std::to_string(txn);
 }
 
-void Core::lower_limits() {
-  if (!settings_.next_limits || has_lowered_limits_) return;
-  has_lowered_limits_ = true;
+void Scheduler::apply_lowered_limits() {
+  if (!settings_.next_limits || uses_lowered_limits_) return;
+  uses_lowered_limits_ = true;
   spdlog::info("the state service has lowered its limits: values of {} bytes at most from now on",
                settings_.lasting_value_bytes());
 }
@@ -44,17 +44,17 @@
 
 // What a page may hold now. New chunks are laid out for the lowered limits from the start
 // (page_for); only pages of before may hold more, and only until the limits are lowered.
-size_t Core::page_room() const {
-  return ledger::page_room(has_lowered_limits_ ? settings_.lasting_value_bytes()
-                                               : settings_.value_bytes);
+size_t Scheduler::page_room() const {
+  return ledger::page_room(uses_lowered_limits_ ? settings_.lasting_value_bytes()
+                                                : settings_.value_bytes);
 }
 
 // Promised starts have pages of their own, so that one write makes many of them durable.
-Index Core::page_for(size_t bytes, PageKind kind) {
+Index Scheduler::page_for(size_t bytes, PageKind kind) {
   const size_t room = ledger::page_room(settings_.lasting_value_bytes());
   for (Index i = 0; i < pages_.size(); ++i) {
     Page& page = pages_[i];
-    if (!page.readable || page.awaits > 0) continue;
+    if (!page.readable || page.unwritten_splits > 0) continue;
     if (page.kind != kind && !page.members.empty()) continue;
     if (page.reserved + bytes > room) continue;
     page.kind = kind;
@@ -65,11 +65,11 @@
   return static_cast<Index>(pages_.size() - 1);
 }
 
-Index Core::empty_page(PageKind kind) {
+Index Scheduler::empty_page(PageKind kind) {
   for (Index i = 0; i < pages_.size(); ++i) {
     Page& page = pages_[i];
     if (!page.members.empty() || !page.unreadable_jobs.empty() || !page.readable) continue;
-    if (page.in_flight || page.awaits > 0 || page.relieves != kNone) continue;
+    if (page.in_flight || page.unwritten_splits > 0 || page.split_from != kNone) continue;
     page.kind = kind;
     return i;
   }
@@ -78,13 +78,13 @@
   return static_cast<Index>(pages_.size() - 1);
 }
 
-void Core::add_to_page(Job& job, uint32_t first, Index page) {
+void Scheduler::add_to_page(Job& job, uint32_t first, Index page) {
   job.chunks.at(first).page = page;
   pages_[page].reserved += job.chunk_bytes(first);
   pages_[page].members.insert({job.id, first});
 }
 
-void Core::remove_from_page(Job& job, uint32_t first) {
+void Scheduler::remove_from_page(Job& job, uint32_t first) {
   ChunkPlace& place = job.chunks.at(first);
   if (place.page == kNone) return;
   Page& page = pages_[place.page];
@@ -94,33 +94,33 @@
 }
 
 // What a page says of jobs that are over is of no use: it need not be written for them alone.
-void Core::drop_from_pages(Job& job) {
+void Scheduler::drop_from_pages(Job& job) {
   for (const auto& [first, place] : job.chunks) {
     const Index i = place.page;
     remove_from_page(job, first);
     if (i == kNone) continue;
     Page& page = pages_[i];
-    if (!page.members.empty() || page.relieves != kNone || page.awaits > 0) continue;
+    if (!page.members.empty() || page.split_from != kNone || page.unwritten_splits > 0) continue;
     page.dirty_since = -1;
-    page.waits = Wait::nobody;
+    page.write_urgency = WriteUrgency::none;
   }
 }
 
-void Core::mark_dirty(Job& job, uint32_t task, Wait waits, double now) {
+void Scheduler::mark_dirty(Job& job, uint32_t task, WriteUrgency write_urgency, double now) {
   const uint32_t first = job.chunk_of(task);
   if (job.chunks.at(first).page == kNone)
     add_to_page(job, first, page_for(job.chunk_bytes(first), job.page_kind()));
   Page& page = pages_[job.chunks.at(first).page];
   if (page.dirty_since < 0) page.dirty_since = now;
-  page.waits = std::min(page.waits, waits);
+  page.write_urgency = std::min(page.write_urgency, write_urgency);
 }
 
 // ---------------------------------------------------------------- pages under lowered limits
 
 // What is durable of some consecutive tasks, or is to be with the next write: no proposed starts.
-ledger::Chunk Core::durable_chunk(const Job& job, uint32_t first, uint32_t count) const {
+ledger::Chunk Scheduler::durable_chunk(const Job& job, uint32_t first, uint32_t count) const {
   ledger::Chunk chunk;
-  chunk.top = job.top;
+  chunk.highest_attempt = job.highest_attempt;
   const uint32_t end = first + count;
   for (const auto& [a, b] : job.done.ranges()) {
     if (b < first || a >= end) continue;
@@ -130,7 +130,7 @@
        ++it) {
     const Attempt& a = it->second;
     if (a.state == AttemptState::ended || a.state == AttemptState::proposed) continue;
-    chunk.live.push_back({a.task, a.number, machines_[a.machine]->name, a.session});
+    chunk.live.push_back({a.task, a.number, machines_[a.machine]->name, a.epoch});
   }
   return chunk;
 }
@@ -139,7 +139,7 @@
 
 size_t size_of(const std::string& job, const ledger::Chunk& chunk) {
   size_t size = ledger::encoded_size(job, chunk.done);
-  for (const ledger::Live& live : chunk.live) size += ledger::encoded_size(live);
+  for (const ledger::LiveAttempt& live : chunk.live) size += ledger::encoded_size(live);
   return size;
 }
 
@@ -153,25 +153,25 @@
 
 // What is durable, or is to be with the next write: proposed starts count too, for in a page that
 // has no room for them they would wait until others end.
-size_t Core::wanted_size(const Job& job, uint32_t first) const {
+size_t Scheduler::wanted_size(const Job& job, uint32_t first) const {
   const uint32_t count = job.chunks.at(first).count;
   size_t size = size_of(job.spec.id, durable_chunk(job, first, count));
   for (auto it = job.attempts.lower_bound(first);
        it != job.attempts.end() && it->first < first + count; ++it) {
     const Attempt& a = it->second;
     if (a.state == AttemptState::proposed)
-      size += ledger::encoded_size({a.task, a.number, machines_[a.machine]->name, a.session});
+      size += ledger::encoded_size({a.task, a.number, machines_[a.machine]->name, a.epoch});
   }
   return size;
 }
 
-size_t Core::wanted_size(const Page& page) const {
+size_t Scheduler::wanted_size(const Page& page) const {
   size_t size = size_of(page.unreadable_jobs);
   for (const auto& [j, first] : page.members) size += wanted_size(*jobs_[j], first);
   return size;
 }
 
-void Core::split_chunk(Job& job, uint32_t first) {
+void Scheduler::split_chunk(Job& job, uint32_t first) {
   const ChunkPlace whole = job.chunks.at(first);
   const uint32_t most = ledger::tasks_per_chunk(settings_.lasting_value_bytes());
   const uint32_t piece = std::max(1u, std::min(most, whole.count / 2));
@@ -184,7 +184,7 @@
   }
 }
 
-void Core::split_large_chunks(Index i) {
+void Scheduler::split_large_chunks(Index i) {
   while (true) {
     const auto& members = pages_[i].members;
     const auto large = std::find_if(members.begin(), members.end(), [this](const auto& member) {
@@ -201,8 +201,8 @@
 // A page that was laid out under larger limits cannot be written as it is to be any more. Chunks of
 // it are moved to pages of their own, which are written first; until then the page itself is not,
 // for what was moved is durable only there. True: that has been begun.
-bool Core::relieve(Index i, double now) {
-  if (!has_lowered_limits_ || wanted_size(pages_[i]) <= page_room()) return false;
+bool Scheduler::split_page(Index i, double now) {
+  if (!uses_lowered_limits_ || wanted_size(pages_[i]) <= page_room()) return false;
   split_large_chunks(i);
   const size_t room = page_room();
   const auto members = pages_[i].members;
@@ -213,42 +213,42 @@
     if (left <= room) break;
     Job& job = *jobs_[j];
     const size_t bytes = wanted_size(job, first);
-    const bool fits = to != kNone && filled + bytes <= room &&
-                      pages_[to].reserved + job.chunk_bytes(first) <= room;
-    if (!fits) {
+    const bool fits_in = to != kNone && filled + bytes <= room &&
+                         pages_[to].reserved + job.chunk_bytes(first) <= room;
+    if (!fits_in) {
       to = empty_page(pages_[i].kind);
       filled = 0;
-      pages_[to].relieves = i;
+      pages_[to].split_from = i;
       pages_[to].dirty_since = now;
-      pages_[to].waits = Wait::promised;
-      ++pages_[i].awaits;
+      pages_[to].write_urgency = WriteUrgency::prompt_start;
+      ++pages_[i].unwritten_splits;
     }
     remove_from_page(job, first);
     add_to_page(job, first, to);
     filled += bytes;
     left -= bytes;
   }
-  spdlog::debug("page {}: chunks moved to {} others", i, pages_[i].awaits);
-  return pages_[i].awaits > 0;
+  spdlog::debug("page {}: chunks moved to {} others", i, pages_[i].unwritten_splits);
+  return pages_[i].unwritten_splits > 0;
 }
 
 // ---------------------------------------------------------------- proposals
 
 // Whether what was proposed still makes sense just before it is written.
-bool Core::proposal_stands(const Attempt& a) const {
+bool Scheduler::proposal_stands(const Attempt& a) const {
   const Machine& m = *machines_[a.machine];
-  return m.state == MachineState::ready && !m.cordoned && m.session == a.session;
+  return m.state == MachineState::ready && !m.cordoned && m.epoch == a.epoch;
 }
 
 // Takes back proposals that were never written; `all`, or those that stand no more. A gang whose
 // start is not durable in any part goes back as a whole.
-void Core::void_proposals(Job& job, bool all) {
+void Scheduler::void_proposals(Job& job, bool all) {
   if (job.proposed == 0) return;
   bool some = all;
   for (const auto& [t, a] : job.attempts)
     if (a.state == AttemptState::proposed && !proposal_stands(a)) some = true;
   if (!some) return;
-  all = all || (job.gang() && job.proposed == job.attempts.size());
+  all = all || (job.is_gang() && job.proposed == job.attempts.size());
   for (auto it = job.attempts.begin(); it != job.attempts.end();) {
     const uint32_t task = it->first;
     const Attempt& a = it->second;
@@ -261,7 +261,7 @@
 // ---------------------------------------------------------------- transactions
 
 // A page as it is about to be written.
-struct Core::PageDraft {
+struct Scheduler::PageDraft {
   struct Start {  // a proposal that may be written with it
     size_t entry;
     Job* job;
@@ -275,7 +275,7 @@
 };
 
 // What is durable already has its place first.
-void Core::draft_entries(const Page& page, PageDraft& draft) {
+void Scheduler::draft_entries(const Page& page, PageDraft& draft) {
   draft.page.entries = page.unreadable_jobs;
   draft.size = size_of(page.unreadable_jobs);
   for (const auto& [j, first] : page.members) {
@@ -284,9 +284,9 @@
     const uint32_t count = job.chunks.at(first).count;
     ledger::PageEntry e;
     e.job = job.spec.id;
-    e.n = first / job.per;
-    const uint32_t whole = std::min(job.per, job.tasks() - e.n * job.per);
-    if (first % job.per != 0 || count != whole) e.part = ledger::Part{first, count};
+    e.n = first / job.chunk_size;
+    const uint32_t whole = std::min(job.chunk_size, job.tasks() - e.n * job.chunk_size);
+    if (first % job.chunk_size != 0 || count != whole) e.range = ledger::TaskRange{first, count};
     e.chunk = durable_chunk(job, first, count);
     for (auto it = job.attempts.lower_bound(first);
          it != job.attempts.end() && it->first < first + count; ++it) {
@@ -301,13 +301,13 @@
 }
 
 // New starts, while there is room for them.
-void Core::add_starts(PageDraft& draft, InFlightTransaction& f) {
+void Scheduler::add_starts(PageDraft& draft, InFlightTransaction& f) {
   const size_t most_conditions = kConditionsPerChange * settings_.lasting_txn_ops();
   std::set<Index> named;
   for (const PageDraft::Start& s : draft.starts) {
-    if (s.job->state != JobState::open || s.job->stale()) continue;
-    const ledger::Live live{s.attempt->task, s.attempt->number, machines_[s.attempt->machine]->name,
-                            s.attempt->session};
+    if (s.job->state != JobState::open || s.job->is_stale()) continue;
+    const ledger::LiveAttempt live{s.attempt->task, s.attempt->number,
+                                   machines_[s.attempt->machine]->name, s.attempt->epoch};
     const bool fresh = !named.count(s.job->id);
     if (draft.size + ledger::encoded_size(live) > page_room() ||
         (fresh && f.txn.conditions.size() >= most_conditions)) {
@@ -328,13 +328,14 @@
   f.jobs.assign(named.begin(), named.end());
 }
 
-std::optional<PendingTransaction> Core::page_transaction(Index i, double now) {
+std::optional<PendingTransaction> Scheduler::page_transaction(Index i, double now) {
   const uint64_t id = ++next_txn_;
   InFlightTransaction f;
   f.page = i;
   PageDraft draft;
-  draft.page.mark = f.txn.mark = mark_of(id);
-  f.txn.conditions = {{ledger::kLeaderKey, token_}, {ledger::page_key(i), pages_[i].version}};
+  draft.page.transaction_id = f.txn.transaction_id = transaction_id_of(id);
+  f.txn.conditions = {{ledger::kLeaderKey, fencing_token_},
+                      {ledger::page_key(i), pages_[i].version}};
   draft_entries(pages_[i], draft);
   f.ended = std::move(draft.ended);
   add_starts(draft, f);
@@ -343,7 +344,7 @@
   Page& page = pages_[i];
   page.in_flight = true;
   page.dirty_since = draft.left_out ? now : -1;
-  page.waits = draft.left_out ? Wait::promised : Wait::nobody;
+  page.write_urgency = draft.left_out ? WriteUrgency::prompt_start : WriteUrgency::none;
   if (draft.left_out) page.retry_at = now + 0.1;
   PendingTransaction p{id, f.txn, false};
   in_flight_transactions_[id] = std::move(f);
@@ -351,7 +352,7 @@
 }
 
 // As many as a transaction takes: each job's final state is a row of its own, kept for ever.
-std::optional<PendingTransaction> Core::closing_transaction(double now, size_t room) {
+std::optional<PendingTransaction> Scheduler::closing_transaction(double now, size_t room) {
   InFlightTransaction f;
   f.kind = InFlightTransaction::Kind::closing;
   uint64_t id = 0;
@@ -360,19 +361,19 @@
         std::min({settings_.lasting_txn_ops(), kMostClosings, std::max(kLeastClosings, room)}))
       break;
     Job& job = *jobs_[i];
-    if (job.state != JobState::open || job.stale() || job.retry_at > now ||
+    if (job.state != JobState::open || job.is_stale() || job.retry_at > now ||
         job.in_flight_transactions > 0)
       continue;
     if (f.jobs.empty()) {
       id = ++next_txn_;
-      f.txn.mark = mark_of(id);
-      f.txn.conditions = {{ledger::kLeaderKey, token_}};
+      f.txn.transaction_id = transaction_id_of(id);
+      f.txn.conditions = {{ledger::kLeaderKey, fencing_token_}};
     }
     ledger::JobRow row;
-    row.standing = ledger::Standing::done;
+    row.status = ledger::JobStatus::done;
     row.tasks = job.tasks();
-    row.per = job.per;
-    row.mark = f.txn.mark;
+    row.chunk_size = job.chunk_size;
+    row.transaction_id = f.txn.transaction_id;
     f.txn.conditions.push_back({ledger::job_key(job.spec.id), job.version});
     f.txn.changes.push_back({ledger::job_key(job.spec.id), false, ledger::encode(row), 0});
     f.jobs.push_back(i);
@@ -387,25 +388,27 @@
 
 // The page to write next: by who waits for it, then by age. Mere ends are gathered, as their
 // workers list them until then. kNone: there is none.
-Index Core::next_page(double now) const {
+Index Scheduler::next_page(double now) const {
   Index pick = kNone;
   const auto key = [now](const Page& p) {
     const int steps = static_cast<int>((now - p.dirty_since) / kPutOff);
-    const int most = static_cast<int>(Wait::promised);
-    const int waits = static_cast<int>(p.waits);
-    return std::make_pair(waits <= most ? waits : std::max(most, waits - steps), p.dirty_since);
+    const int most = static_cast<int>(WriteUrgency::prompt_start);
+    const int write_urgency = static_cast<int>(p.write_urgency);
+    return std::make_pair(
+        write_urgency <= most ? write_urgency : std::max(most, write_urgency - steps),
+        p.dirty_since);
   };
   for (Index i = 0; i < pages_.size(); ++i) {
     const Page& p = pages_[i];
-    if (p.dirty_since < 0 || p.in_flight || p.awaits > 0 || p.retry_at > now) continue;
-    if (p.waits == Wait::nobody && now - p.dirty_since < kGatherEnds) continue;
+    if (p.dirty_since < 0 || p.in_flight || p.unwritten_splits > 0 || p.retry_at > now) continue;
+    if (p.write_urgency == WriteUrgency::none && now - p.dirty_since < kGatherEnds) continue;
     if (pick == kNone || key(p) < key(pages_[pick])) pick = i;
   }
   return pick;
 }
 
-std::optional<PendingTransaction> Core::next_transaction(double now, size_t room) {
-  if (lost_) return std::nullopt;
+std::optional<PendingTransaction> Scheduler::next_transaction(double now, size_t room) {
+  if (has_lost_leadership_) return std::nullopt;
   // An unanswered transaction goes out again, word for word, before anything else is decided
   // about its rows: whatever copy is executed, the outcome is the same.
   for (auto& [id, f] : in_flight_transactions_)
@@ -415,11 +418,11 @@
       return PendingTransaction{id, f.txn, true};
     }
   Index pick = next_page(now);
-  while (pick != kNone && relieve(pick, now)) pick = next_page(now);
+  while (pick != kNone && split_page(pick, now)) pick = next_page(now);
   // Jobs are closed together: their users have to be told within 3 s.
   if (closing_.empty()) closing_since_ = -1;
   if (!closing_.empty() && closing_since_ < 0) closing_since_ = now;
-  const bool starts = pick != kNone && pages_[pick].waits < Wait::again;
+  const bool starts = pick != kNone && pages_[pick].write_urgency < WriteUrgency::restart;
   if (!closing_.empty() && (!starts || now - closing_since_ > kGatherClosings)) {
     closing_since_ = now;
     if (auto t = closing_transaction(now, room)) return t;
@@ -431,7 +434,7 @@
   return std::nullopt;
 }
 
-void Core::on_result(uint64_t id, const ledger::Result& r, double now) {
+void Scheduler::on_result(uint64_t id, const ledger::Result& r, double now) {
   auto it = in_flight_transactions_.find(id);
   if (it == in_flight_transactions_.end()) return;
   if (r.outcome == Outcome::unknown) {
@@ -447,7 +450,7 @@
     // Nor will any other copy be, but an earlier one may still be: with the end of our leadership
     // the leader key makes it void, and a successor reads what became of it.
     take_rejection(it->second);
-    return fail("an unanswered transaction is rejected now");
+    return lose_leadership("an unanswered transaction is rejected now");
   }
   const InFlightTransaction f = std::move(it->second);
   in_flight_transactions_.erase(it);
@@ -457,14 +460,15 @@
     if (Job* job = find(j)) --job->in_flight_transactions;
   if (r.outcome == Outcome::conflict)
     for (const std::string& key : r.failed) {
-      if (key == ledger::kLeaderKey) return fail("the leader key is not ours any more");
+      if (key == ledger::kLeaderKey) return lose_leadership("the leader key is not ours any more");
       // Nobody but the leader writes pages and the rented list; a ledger that disagrees is read
       // anew from scratch.
       const std::string jobs = ledger::kJobPrefix;
-      if (key.compare(0, jobs.size(), jobs) != 0) return fail(key + " is not as we left it");
+      if (key.compare(0, jobs.size(), jobs) != 0)
+        return lose_leadership(key + " is not as we left it");
       Job* job = find(job_names_.find(key.substr(jobs.size())));
       if (!job) continue;
-      if (!job->over() && job->stale_since < 0) job->stale_since = now;
+      if (!job->is_finished() && job->stale_since < 0) job->stale_since = now;
     }
   switch (f.kind) {
     case InFlightTransaction::Kind::page:
@@ -484,24 +488,24 @@
   for (Index j : f.jobs) {
     Job* job = find(j);
     if (!job) continue;
-    if (job->state == JobState::aborted)
+    if (job->state == JobState::cancelled)
       for (auto& [t, a] : job->attempts) stop_attempt(*job, a, 0);
-    drop_if_over(j);
+    erase_if_finished(j);
   }
 }
 
 // The state service takes nothing that large, or nothing of that form.
-void Core::take_rejection(const InFlightTransaction& f) {
+void Scheduler::take_rejection(const InFlightTransaction& f) {
   bool large = f.txn.changes.size() > settings_.lasting_txn_ops();
   for (const ledger::Change& c : f.txn.changes)
     large = large || ledger::value_size(c.value) > settings_.lasting_value_bytes();
   if (large && settings_.next_limits)
-    lower_limits();
+    apply_lowered_limits();
   else
     spdlog::error("ledger: a transaction of {} changes is rejected", f.txn.changes.size());
 }
 
-void Core::settle_page(const InFlightTransaction& f, const ledger::Result& r, double now) {
+void Scheduler::settle_page(const InFlightTransaction& f, const ledger::Result& r, double now) {
   Page& page = pages_[f.page];
   page.in_flight = false;
   if (r.outcome != Outcome::applied) {
@@ -511,13 +515,15 @@
     if (r.outcome == Outcome::rejected)
       page.retry_at = now + (wanted_size(page) > page_room() ? 0 : kRetryRejected);
     if (page.dirty_since < 0) page.dirty_since = now;
-    page.waits = page.kind == PageKind::service ? Wait::replica : Wait::promised;
+    page.write_urgency =
+        page.kind == PageKind::service ? WriteUrgency::replica : WriteUrgency::prompt_start;
     for (Index j : f.jobs)
-      if (Job* job = find(j); job && (job->stale() || job->over())) void_proposals(*job, true);
+      if (Job* job = find(j); job && (job->is_stale() || job->is_finished()))
+        void_proposals(*job, true);
     return;
   }
   page.version = r.revision;
-  if (page.relieves != kNone) --pages_[std::exchange(page.relieves, kNone)].awaits;
+  if (page.split_from != kNone) --pages_[std::exchange(page.split_from, kNone)].unwritten_splits;
   for (const auto& [j, t] : f.started) {
     Job* job = find(j);
     if (!job) continue;
@@ -527,26 +533,26 @@
     --job->proposed;
     direct_command_due_.insert(a->second.machine);
     const MachineState at = machines_[a->second.machine]->state;
-    if (at == MachineState::gone)
-      end_attempt(*job, t, Cause::none, now, "its machine went while it was committed");
+    if (at == MachineState::terminated)
+      end_attempt(*job, t, ExitCause::none, now, "its machine went while it was committed");
     else if (!proposal_stands(a->second))
       stop_attempt(*job, a->second, 0);
     // The last of a gang to be committed makes all of it ready to be ordered.
-    if (job->gang() && job->proposed == 0)
+    if (job->is_gang() && job->proposed == 0)
       for (auto& [other, b] : job->attempts) direct_command_due_.insert(b.machine);
   }
   for (const auto& [j, t] : f.ended) {
     Job* job = find(j);
-    if (!job || job->state == JobState::aborted) continue;
+    if (!job || job->state == JobState::cancelled) continue;
     auto a = job->attempts.find(t);
     if (a != job->attempts.end() && a->second.state == AttemptState::ended) {
       release(*job, t);
-      wants_round_ = true;
+      needs_round_ = true;
     }
   }
 }
 
-void Core::settle_closing(const InFlightTransaction& f, const ledger::Result& r) {
+void Scheduler::settle_closing(const InFlightTransaction& f, const ledger::Result& r) {
   for (Index j : f.jobs) {
     Job* job = find(j);
     if (!job) continue;
@@ -561,13 +567,13 @@
   }
 }
 
-size_t Core::unsent() const {
+size_t Scheduler::unsent() const {
   size_t n = closing_.size() + in_flight_transactions_.size();
   for (const Page& p : pages_) n += p.dirty_since >= 0;
   return n;
 }
 
-size_t Core::backlog() const {
+size_t Scheduler::backlog() const {
   size_t n = unsent();
   for (const auto& job : jobs_)
     if (job) n += std::min<size_t>(job->waiting.size(), 64);
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -16,29 +16,29 @@
 constexpr double kSiblingFresh = 3;
 }  // namespace
 
-void Budgets::on_write_refused() {
+void RateLimiters::on_write_refused() {
   std::lock_guard lock(mutex_);
   write_limit_.on_refused(steady_now());
   update_locked(steady_now());
 }
 
-void Budgets::on_sibling_refused() {
+void RateLimiters::on_sibling_refused() {
   std::lock_guard lock(mutex_);
   sibling_refused_at_ = steady_now();
   update_locked(steady_now());
 }
 
-bool Budgets::sees_lowered_write_rate() {
+bool RateLimiters::sees_lowered_write_rate() {
   std::lock_guard lock(mutex_);
   return write_limit_.is_lowered(steady_now());
 }
 
-double Budgets::update_write_rate() {
+double RateLimiters::update_write_rate() {
   std::lock_guard lock(mutex_);
   return update_locked(steady_now());
 }
 
-double Budgets::update_locked(double now) {
+double RateLimiters::update_locked(double now) {
   const bool lowered = write_limit_.is_lowered(now) || now - sibling_refused_at_ < kSiblingFresh;
   const double is = lowered ? std::min(write_rps_, next_write_rps_) : write_rps_;
   if (is != current_write_rps_) {
@@ -49,8 +49,8 @@
   return is;
 }
 
-Client::Client(const Endpoint& at, Budgets& budgets, double read_timeout_s)
-    : http_(at.host, at.port), budgets_(budgets) {
+Client::Client(const Endpoint& at, RateLimiters& limiters, double read_timeout_s)
+    : http_(at.host, at.port), limiters_(limiters) {
   http_.set_keep_alive(true);
   http_.set_tcp_nodelay(true);
   http_.set_url_encode(false);
@@ -62,13 +62,13 @@
 Client::Answer Client::call(const char* method, const std::string& path, const json* body,
                             double writes, double max_wait_s) {
   Answer a;
-  if (!budgets_.requests.take(1, max_wait_s)) return a;
-  if (writes > 0 && !budgets_.writes.take(writes, max_wait_s)) return a;
+  if (!limiters_.requests.take(1, max_wait_s)) return a;
+  if (writes > 0 && !limiters_.writes.take(writes, max_wait_s)) return a;
   return send(method, path, body, writes > 0);
 }
 
 Client::Answer Client::call_first(const char* method, const std::string& path, const json* body) {
-  budgets_.requests.take_first(1);
+  limiters_.requests.take_first(1);
   return send(method, path, body, false);
 }
 
@@ -93,10 +93,10 @@
   if (!r->body.empty())
     if (auto j = wire::unpack(r->body)) a.body = std::move(*j);
   if (a.status == 429) {
-    budgets_.requests.penalty(0.2);
+    limiters_.requests.penalty(0.2);
     if (writes) {
-      budgets_.on_write_refused();
-      budgets_.writes.penalty(0.2);
+      limiters_.on_write_refused();
+      limiters_.writes.penalty(0.2);
     }
     spdlog::warn("state: {} {}: over the rate limit", method, path);
   } else if (a.status != 200 && a.status != 409 && a.status != 404) {
@@ -134,7 +134,7 @@
     if (!got.ok) {
       r.outcome = Outcome::unknown;
     } else if (got.row && got.row->value.is_object() && got.row->value.contains("w") &&
-               got.row->value["w"] == t.mark) {
+               got.row->value["w"] == t.transaction_id) {
       r.outcome = Outcome::applied;
       r.revision = got.row->version;
     }
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -10,19 +10,19 @@
 #include <string>
 
 #include "config/config.h"
-#include "core/ledger.h"
-#include "net/budget.h"
+#include "ledger/rows.h"
 #include "net/rate_limit.h"
+#include "net/rate_limiter.h"
 #include "wire/wire.h"
 
 namespace rookdyke::state {
 
 // What all clients of a replica may ask of the state service.
-class Budgets {
+class RateLimiters {
  public:
   // next_write_rps: what the limit of changes a second will be from some moment on; empty: it
   // stays.
-  Budgets(double rps, double write_rps, std::optional<double> next_write_rps = std::nullopt)
+  RateLimiters(double rps, double write_rps, std::optional<double> next_write_rps = std::nullopt)
       : requests(rps),
         writes(write_rps),
         write_rps_(write_rps),
@@ -37,7 +37,7 @@
   // Follows what is known of the limit; returns it. To be called every second or so.
   double update_write_rate();
 
-  net::Budget requests, writes;
+  net::RateLimiter requests, writes;
 
  private:
   double update_locked(double now);
@@ -51,7 +51,7 @@
 
 class Client {
  public:
-  Client(const Endpoint& at, Budgets& budgets, double read_timeout_s = 1.5);
+  Client(const Endpoint& at, RateLimiters& limiters, double read_timeout_s = 1.5);
 
   // `max_wait_s` bounds the wait for the budget only.
   ledger::Result commit(const ledger::Transaction& t, double max_wait_s);
@@ -90,7 +90,7 @@
   Answer send(const char* method, const std::string& path, const nlohmann::json* body, bool writes);
 
   httplib::Client http_;
-  Budgets& budgets_;
+  RateLimiters& limiters_;
 };
 
 }  // namespace rookdyke::state
--- a/src/state/connection_pool.cpp
+++ b/src/state/connection_pool.cpp
@@ -12,14 +12,14 @@
   if (client_) pool_.release(std::move(client_));
 }
 
-ConnectionPool::ConnectionPool(Endpoint state, Budgets& budgets, size_t max_connections)
-    : state_(std::move(state)), budgets_(budgets), max_connections_(max_connections) {}
+ConnectionPool::ConnectionPool(Endpoint state, RateLimiters& limiters, size_t max_connections)
+    : state_(std::move(state)), limiters_(limiters), max_connections_(max_connections) {}
 
 std::unique_ptr<Client> ConnectionPool::acquire(double timeout_s) {
   std::unique_lock lock(mutex_);
   if (idle_.empty() && opened_ < max_connections_) {
     ++opened_;
-    return std::make_unique<Client>(state_, budgets_);
+    return std::make_unique<Client>(state_, limiters_);
   }
   released_.wait_for(lock, std::chrono::duration<double>(timeout_s),
                      [&] { return !idle_.empty(); });
--- a/src/state/connection_pool.h
+++ b/src/state/connection_pool.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "net/budget.h"
+#include "net/rate_limiter.h"
 #include "state/client.h"
 
 namespace rookdyke::state {
@@ -38,7 +38,7 @@
   };
 
   // `budgets` must outlive the pool; every connection pays from them.
-  ConnectionPool(Endpoint state, Budgets& budgets, size_t max_connections);
+  ConnectionPool(Endpoint state, RateLimiters& limiters, size_t max_connections);
 
  private:
   // A connection that nobody uses, or a new one; at the bound it waits for one to come back. Null:
@@ -47,7 +47,7 @@
   void release(std::unique_ptr<Client> client);
 
   const Endpoint state_;
-  Budgets& budgets_;
+  RateLimiters& limiters_;
   const size_t max_connections_;
   std::mutex mutex_;  // guards what follows
   std::condition_variable released_;
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -111,13 +111,13 @@
   return ec == std::errc() && p == end;
 }
 
-const char* verb(Verb v) {
+const char* verb(CommandKind v) {
   switch (v) {
-    case Verb::run:
+    case CommandKind::start:
       return "run";
-    case Verb::stop:
+    case CommandKind::stop:
       return "stop";
-    case Verb::clear:
+    case CommandKind::forget:
       return "clear";
   }
   return "";
@@ -208,36 +208,36 @@
   std::string word;
   name("shape", word);
   if (word == "ensemble")
-    s.shape = Shape::gang;
+    s.shape = JobShape::gang;
   else if (word == "service")
-    s.shape = Shape::service;
+    s.shape = JobShape::service;
   else if (word != "array")
     error = "shape";
   word.clear();
   name("rank", word);
   if (word == "critical")
-    s.rank = Rank::critical;
+    s.priority = Priority::critical;
   else if (word == "urgent")
-    s.rank = Rank::urgent;
+    s.priority = Priority::urgent;
   else if (word == "standard")
-    s.rank = Rank::standard;
+    s.priority = Priority::standard;
   else if (word == "idle")
-    s.rank = Rank::idle;
+    s.priority = Priority::idle;
   else
     error = "rank";
   const uint64_t tasks = whole_or(b, "shifts");
   if (tasks < 1 || tasks > kMaxTasks) error = "shifts";
   s.tasks = static_cast<uint32_t>(std::min(tasks, kMaxTasks));
-  amount("cpus", s.each.cpus);
-  amount("gpus", s.each.gpus);
-  amount("mem_gb", s.each.mem);
+  amount("cpus", s.per_task.cpus);
+  amount("gpus", s.per_task.gpus);
+  amount("mem_gb", s.per_task.memory_gb);
   amount("image_gb", s.image_gb);
-  amount("expected_s", s.estimate_s);
-  amount("marker_s", s.checkpoint_s);
-  amount("stow_s", s.save_s);
-  if (field(b, "due_s")) amount("due_s", s.due_s);
-  flag("one_zone", s.one_zone);
-  flag("scatter", s.scatter);
+  amount("expected_s", s.expected_runtime_s);
+  amount("marker_s", s.checkpoint_interval_s);
+  amount("stow_s", s.checkpoint_duration_s);
+  if (field(b, "due_s")) amount("due_s", s.deadline_s);
+  flag("one_zone", s.single_zone);
+  flag("scatter", s.spread_zones);
   flag("loaners", s.spot);
   if (const json* v = field(b, "breeds")) {
     if (!v->is_array() || v->empty() || v->size() > kMaxTypes) {
@@ -257,11 +257,11 @@
 }
 
 json job_answer(const std::string& id, const JobAnswer& a, bool with_counts) {
-  const char* standing = a.standing == ledger::Standing::done      ? "done"
-                         : a.standing == ledger::Standing::aborted ? "aborted"
-                         : a.running > 0                           ? "running"
-                                                                   : "pending";
-  json out = {{"id", id}, {"standing", standing}};
+  const char* status = a.status == ledger::JobStatus::done        ? "done"
+                       : a.status == ledger::JobStatus::cancelled ? "aborted"
+                       : a.running > 0                            ? "running"
+                                                                  : "pending";
+  json out = {{"id", id}, {"standing", status}};
   if (with_counts) {
     out["done"] = a.done;
     out["running"] = a.running;
@@ -269,8 +269,8 @@
   return out;
 }
 
-std::optional<Report> parse_report(const json& b) {
-  Report r;
+std::optional<Heartbeat> parse_heartbeat(const json& b) {
+  Heartbeat r;
   const json* machine = field(b, "croft");
   if (!machine || !is_name(*machine)) return std::nullopt;
   r.machine = machine->get<std::string>();
@@ -279,44 +279,46 @@
   r.zone = text_or(b, "yard");
   r.spot = truth_or(b, "loaners");
   // Any other number read in place of one of these would prove what it does not.
-  const auto session = whole(b, "tenure"), seq = whole(b, "tally"), token = whole(b, "warrant");
-  if (!session || *session < 1 || !seq || !token || *token > kMaxToken) return std::nullopt;
-  r.session = *session;
+  const auto epoch = whole(b, "tenure"), seq = whole(b, "tally"),
+             fencing_token = whole(b, "warrant");
+  if (!epoch || *epoch < 1 || !seq || !fencing_token || *fencing_token > kMaxToken)
+    return std::nullopt;
+  r.epoch = *epoch;
   r.seq = *seq;
-  r.token = *token;
+  r.fencing_token = *fencing_token;
   r.notice_s = number_or(b, "recall_s", -1);
   const json* tasks = field(b, "shifts");
   if (!tasks) return r;
   if (!tasks->is_array()) return std::nullopt;
   for (const json& t : *tasks) {
-    TaskReport o;
+    TaskStatus o;
     if (!split_task(text_or(t, "shift"), o.job, o.task)) return std::nullopt;
     const auto attempt = whole(t, "go");
     if (!attempt) return std::nullopt;
     o.attempt = *attempt;
     const std::string st = text_or(t, "standing");
     if (st == "pulling")
-      o.seen = Seen::pulling;
+      o.phase = TaskPhase::fetching;
     else if (st == "gathering")
-      o.seen = Seen::gathering;
+      o.phase = TaskPhase::gang_waiting;
     else if (st == "running")
-      o.seen = Seen::running;
+      o.phase = TaskPhase::running;
     else if (st == "saving")
-      o.seen = Seen::saving;
+      o.phase = TaskPhase::checkpointing;
     else if (st == "exited")
-      o.seen = Seen::exited;
+      o.phase = TaskPhase::exited;
     else
       return std::nullopt;
-    if (o.seen == Seen::exited) {
+    if (o.phase == TaskPhase::exited) {
       const std::string why = text_or(t, "cause");
-      o.cause = why == "done"      ? Cause::done
-                : why == "halted"  ? Cause::halted
-                : why == "peers"   ? Cause::peers
-                : why == "alone"   ? Cause::alone
-                : why == "no_room" ? Cause::no_room
-                : why == "in_use"  ? Cause::in_use
-                : why == "no_such" ? Cause::no_such
-                                   : Cause::error;
+      o.cause = why == "done"      ? ExitCause::done
+                : why == "halted"  ? ExitCause::stopped
+                : why == "peers"   ? ExitCause::gang_peer_lost
+                : why == "alone"   ? ExitCause::gang_timeout
+                : why == "no_room" ? ExitCause::insufficient_resources
+                : why == "in_use"  ? ExitCause::already_present
+                : why == "no_such" ? ExitCause::unknown_task
+                                   : ExitCause::error;
       o.saved = truth_or(t, "stored");
     }
     r.tasks.push_back(std::move(o));
@@ -324,20 +326,20 @@
   return r;
 }
 
-json report_answer(uint64_t token, const std::vector<Order>& orders) {
+json report_answer(uint64_t fencing_token, const std::vector<WorkerCommand>& commands) {
   json list = json::array();
-  for (const Order& o : orders) {
+  for (const WorkerCommand& o : commands) {
     json e = {
         {"verb", verb(o.verb)}, {"shift", o.job + "/" + std::to_string(o.task)}, {"go", o.attempt}};
-    if (o.verb == Verb::stop) e["leave_s"] = o.grace_s;
+    if (o.verb == CommandKind::stop) e["leave_s"] = o.grace_s;
     list.push_back(std::move(e));
   }
-  return {{"warrant", token}, {"orders", std::move(list)}};
+  return {{"warrant", fencing_token}, {"orders", std::move(list)}};
 }
 
-json direct(uint64_t token, const DirectCommand& d) {
-  json out = report_answer(token, d.orders);
-  out["tenure"] = d.session;
+json direct(uint64_t fencing_token, const DirectCommand& d) {
+  json out = report_answer(fencing_token, d.commands);
+  out["tenure"] = d.epoch;
   return out;
 }
 
@@ -359,17 +361,17 @@
 }
 }  // namespace
 
-std::optional<std::vector<TypeInfo>> parse_types(const json& b) {
+std::optional<std::vector<MachineType>> parse_types(const json& b) {
   const json* list = field(b, "breeds");
   if (!list || !list->is_array()) return std::nullopt;
-  std::vector<TypeInfo> out;
+  std::vector<MachineType> out;
   for (const json& t : *list) {
     // One that is read wrongly, or left out, would have jobs refused that can run.
     if (!is_type(t) || has_type(out, text_or(t, "name"))) {
       spdlog::error("cloud: the machine types cannot be read");
       return std::nullopt;
     }
-    TypeInfo i;
+    MachineType i;
     i.name = text_or(t, "name");
     i.size = {number_or(t, "cpus", 0), number_or(t, "gpus", 0), number_or(t, "mem_gb", 0)};
     i.cache_gb = number_or(t, "local_gb", 0);
@@ -403,7 +405,7 @@
   return out;
 }
 
-json give_back(const std::vector<std::string>& names) { return {{"crofts", names}}; }
+json return_machines(const std::vector<std::string>& names) { return {{"crofts", names}}; }
 
 std::string list_path(const std::string& after, int most) {
   std::string p = "/machines?most=" + std::to_string(most);
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "core/core.h"
-#include "core/ledger.h"
-#include "core/mirror.h"
-#include "core/types.h"
+#include "ledger/ledger_cache.h"
+#include "ledger/rows.h"
+#include "model/types.h"
+#include "scheduler/scheduler.h"
 
 namespace rookdyke::wire {
 
@@ -33,17 +33,17 @@
 std::optional<JobSpec> parse_job(const json& body, std::string& error);
 json job_answer(const std::string& id, const JobAnswer& a, bool with_counts);
 
-std::optional<Report> parse_report(const json& body);
-json report_answer(uint64_t token, const std::vector<Order>& orders);
+std::optional<Heartbeat> parse_heartbeat(const json& body);
+json report_answer(uint64_t fencing_token, const std::vector<WorkerCommand>& commands);
 inline constexpr const char* kDirect = "/do";
-json direct(uint64_t token, const DirectCommand& d);
+json direct(uint64_t fencing_token, const DirectCommand& d);
 json redirect(const std::string& leader_label);  // empty: no leader known
 
 // Cloud.
-std::optional<std::vector<TypeInfo>> parse_types(const json& body);
+std::optional<std::vector<MachineType>> parse_types(const json& body);
 json rent(const RentalRequest& h);
 std::optional<std::vector<std::string>> parse_hired(const json& body);
-json give_back(const std::vector<std::string>& names);
+json return_machines(const std::vector<std::string>& names);
 std::string list_path(const std::string& after, int most);
 std::optional<std::vector<ListedMachine>> parse_machines(const json& body, bool& more);
 
--- a/tests/boot_statistics_test.cpp
+++ b/tests/boot_statistics_test.cpp
@@ -1,6 +1,6 @@
 // What recent boots tell of those under way.
 
-#include "core/boot_statistics.h"
+#include "fleet/boot_statistics.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/checker.cpp
+++ b/tests/checker.cpp
@@ -20,12 +20,12 @@
 constexpr double kMissing = 75;
 
 // The least that a job needs to go on: one task of an array or service, all of a gang.
-uint32_t least(const JobSpec& s) { return s.shape == Shape::gang ? s.tasks : 1; }
+uint32_t least(const JobSpec& s) { return s.shape == JobShape::gang ? s.tasks : 1; }
 
 // What a job has to have at once to be served as its user wants it.
-uint32_t at_once(const JobSpec& s) { return s.shape == Shape::array ? 1 : s.tasks; }
+uint32_t at_once(const JobSpec& s) { return s.shape == JobShape::array ? 1 : s.tasks; }
 
-bool within(const TeamInfo& team, const Amounts& used) {
+bool within(const TeamQuota& team, const Resources& used) {
   return (team.cpus_max <= 0 || used.cpus <= team.cpus_max + 1e-6) &&
          (team.gpus_max <= 0 || used.gpus <= team.gpus_max + 1e-6);
 }
@@ -53,16 +53,16 @@
   const std::string was = j.called_done ? "done" : "aborted";
   const std::string what = j.spec.id + " was " + was + ", is " + a;
   bool wrong = j.over_at >= 0 && a != was && !(open && on_its_way(when, j.over_at));
-  if (when.node >= 0) {
-    auto over = j.over_said.find(when.node);
-    auto last = j.open_said.find(when.node);
+  if (when.controller >= 0) {
+    auto finished = j.over_said.find(when.controller);
+    auto last = j.open_said.find(when.controller);
     if (open) {
-      wrong = wrong || (over != j.over_said.end() && when.given > over->second);
-      double& said = j.open_said.try_emplace(when.node, when.given).first->second;
+      wrong = wrong || (finished != j.over_said.end() && when.given > finished->second);
+      double& said = j.open_said.try_emplace(when.controller, when.given).first->second;
       said = std::max(said, when.given);
     } else {
       wrong = wrong || (last != j.open_said.end() && last->second > when.given);
-      double& said = j.over_said.try_emplace(when.node, when.given).first->second;
+      double& said = j.over_said.try_emplace(when.controller, when.given).first->second;
       said = std::min(said, when.given);
     }
   }
@@ -75,15 +75,15 @@
   if (when.asked < 0) when.asked = now;
   if (when.given < 0) when.given = now;
   auto it = jobs_.find(id);
-  const bool standing = a == "pending" || a == "running" || a == "done" || a == "aborted";
+  const bool status = a == "pending" || a == "running" || a == "done" || a == "aborted";
   if (it == jobs_.end() || it->second.spec.id.empty()) {
-    if (standing) breaks(now, "invented", id + " is " + a);
+    if (status) breaks(now, "invented", id + " is " + a);
     return;
   }
   JobTruth& j = it->second;
   j.failing_since = j.silent_since = -1;
   j.cancel_asked = j.cancel_asked || cancel_asked;
-  if (!standing) {
+  if (!status) {
     if (j.accepted && !on_its_way(when, j.accepted_at) && (a == "404" || a == "400" || a == "422"))
       breaks(now, "forgotten", id + " is answered " + a);
     return;
@@ -99,7 +99,7 @@
     j.called_done = true;
   }
   if (a == "aborted") {
-    j.aborted_at = j.called_aborted ? std::min(j.aborted_at, when.given) : when.given;
+    j.cancelled_at = j.called_aborted ? std::min(j.cancelled_at, when.given) : when.given;
     j.called_aborted = true;
   }
   if ((a == "done" || a == "aborted") && j.over_at < 0) j.over_at = now;
@@ -126,19 +126,19 @@
 
 std::string Checker::unfit(const JobTruth& j) const {
   if (j.lacks_a_field) return "lacks a field";
-  const TeamInfo* t = team(j.spec.team);
+  const TeamQuota* t = team(j.spec.team);
   if (!t) return "is of an unknown team";
-  if (!within(*t, j.spec.each.times(at_once(j.spec)))) return "is over its team's limit";
-  if (!types_.empty() && std::none_of(types_.begin(), types_.end(), [&](const TypeInfo& type) {
-        return allowed(j.spec.types, type.name) && j.spec.each.fits(type.size);
+  if (!within(*t, j.spec.per_task.scaled(at_once(j.spec)))) return "is over its team's limit";
+  if (!types_.empty() && std::none_of(types_.begin(), types_.end(), [&](const MachineType& type) {
+        return allowed(j.spec.types, type.name) && j.spec.per_task.fits_in(type.size);
       }))
     return "fits no machine type";
   return "";
 }
 
-const TeamInfo* Checker::team(const std::string& name) const {
-  auto it =
-      std::find_if(teams_.begin(), teams_.end(), [&](const TeamInfo& t) { return t.name == name; });
+const TeamQuota* Checker::team(const std::string& name) const {
+  auto it = std::find_if(teams_.begin(), teams_.end(),
+                         [&](const TeamQuota& t) { return t.name == name; });
   return it == teams_.end() ? nullptr : &*it;
 }
 
@@ -149,35 +149,35 @@
     if (r.spot && !s.spot) continue;
     if (!s.zone.empty() && s.zone != r.zone) continue;
     if (!allowed(s.types, r.type)) continue;
-    Amounts left = r.free;
+    Resources left = r.free;
     uint32_t& n = by_zone[r.zone];
-    for (; n < s.tasks && s.each.fits(left); ++n) left -= s.each;
+    for (; n < s.tasks && s.per_task.fits_in(left); ++n) left -= s.per_task;
   }
   uint32_t most = 0, all = 0;
   for (const auto& [zone, n] : by_zone) {
     most = std::max(most, n);
-    all += s.scatter ? std::min(n, (s.tasks + 1) / 2) : n;
+    all += s.spread_zones ? std::min(n, (s.tasks + 1) / 2) : n;
   }
-  return (s.one_zone ? most : all) >= least(s);
+  return (s.single_zone ? most : all) >= least(s);
 }
 
 void Checker::rooms(double now, const std::vector<Room>& rooms,
                     const std::map<std::string, size_t>& held) {
   if (now < troubles_over) return;
-  std::map<std::string, Amounts> used;
+  std::map<std::string, Resources> used;
   for (const auto& [id, n] : held) {
     const JobSpec& s = jobs_[id].spec;
-    used[s.team] += s.each.times(static_cast<double>(n));
+    used[s.team] += s.per_task.scaled(static_cast<double>(n));
   }
   for (auto& [id, j] : jobs_) {
-    const TeamInfo* t = team(j.spec.team);
-    const bool service = j.spec.shape == Shape::service;
+    const TeamQuota* t = team(j.spec.team);
+    const bool service = j.spec.shape == JobShape::service;
     const auto has = held.count(id) ? held.at(id) : 0;
     bool waits = j.accepted && !j.cancel_asked && !j.faulty && t && j.done.size() < j.spec.tasks &&
                  (service ? has < j.spec.tasks : has == 0);
     if (waits) {
-      Amounts with = used[j.spec.team];
-      with += j.spec.each.times(least(j.spec));
+      Resources with = used[j.spec.team];
+      with += j.spec.per_task.scaled(least(j.spec));
       waits = within(*t, with) && finds_room(j.spec, rooms);
     }
     if (!waits) {
@@ -201,14 +201,14 @@
     if (m != at.machine)
       breaks(now, "ran_twice",
              std::string(name).append(" on ").append(m).append(" and ").append(at.machine));
-  if (j.aborted_at >= 0 && now > j.aborted_at + cancel_s_)
+  if (j.cancelled_at >= 0 && now > j.cancelled_at + cancel_s_)
     breaks(now, "ran_cancelled", name + " starts");
   // A command in flight when the user was told may still start its task; none may be given out
   // later. The time of the command itself is known here, so no allowance for the network is needed.
-  if (j.aborted_at >= 0 && ordered_at > j.aborted_at)
+  if (j.cancelled_at >= 0 && ordered_at > j.cancelled_at)
     breaks(now, "started_cancelled",
            name + " ordered at " + std::to_string(ordered_at) + ", cancelled at " +
-               std::to_string(j.aborted_at));
+               std::to_string(j.cancelled_at));
   bool place_ok = !at.spot || j.spec.spot;
   place_ok = place_ok && (j.spec.zone.empty() || j.spec.zone == at.zone);
   place_ok = place_ok && allowed(j.spec.types, at.type);
@@ -218,21 +218,21 @@
     for (const auto& [m, p] : places) {
       if (p.zone == at.zone)
         ++same;
-      else if (j.spec.one_zone)
+      else if (j.spec.single_zone)
         place_ok = false;
     }
   }
-  if (j.spec.scatter && same > (j.spec.tasks + 1) / 2) place_ok = false;
+  if (j.spec.spread_zones && same > (j.spec.tasks + 1) / 2) place_ok = false;
   if (!place_ok) breaks(now, "wrong_place", name + " on " + at.machine + " in " + at.zone);
   j.on[task][at.machine] = at;
-  for (const TeamInfo& team : teams_) {
+  for (const TeamQuota& team : teams_) {
     if (team.name != j.spec.team || (team.cpus_max <= 0 && team.gpus_max <= 0)) continue;
     double cpus = 0, gpus = 0;
     for (const auto& [other_id, o] : jobs_) {
       if (o.spec.team != team.name) continue;
       for (const auto& [t, places] : o.on) {
-        cpus += o.spec.each.cpus * static_cast<double>(places.size());
-        gpus += o.spec.each.gpus * static_cast<double>(places.size());
+        cpus += o.spec.per_task.cpus * static_cast<double>(places.size());
+        gpus += o.spec.per_task.gpus * static_cast<double>(places.size());
       }
     }
     if ((team.cpus_max > 0 && cpus > team.cpus_max + 1e-6) ||
@@ -243,7 +243,7 @@
 
 // A service is never done; it is served if its replicas run.
 bool Checker::is_served(const JobTruth& j) {
-  if (j.spec.shape != Shape::service) return j.done.size() >= j.spec.tasks;
+  if (j.spec.shape != JobShape::service) return j.done.size() >= j.spec.tasks;
   const auto running = std::count_if(j.on.begin(), j.on.end(),
                                      [](const auto& task) { return !task.second.empty(); });
   return 2 * static_cast<size_t>(running) >= j.spec.tasks;
@@ -290,7 +290,7 @@
 
 void Checker::tick(double now) {
   for (auto& [id, j] : jobs_) {
-    if (j.aborted_at < 0 || now <= j.aborted_at + cancel_s_) continue;
+    if (j.cancelled_at < 0 || now <= j.cancelled_at + cancel_s_) continue;
     for (const auto& [t, places] : j.on)
       if (!places.empty()) {
         breaks(now, "ran_cancelled", id + "/" + std::to_string(t) + " is still on a machine");
--- a/tests/checker.h
+++ b/tests/checker.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "model/types.h"
 
 namespace rookdyke::test {
 
@@ -20,20 +20,20 @@
 struct Room {
   std::string type, zone;
   bool spot = false;
-  Amounts free;
+  Resources free;
 };
 
 // When the question was put that an answer belongs to, and when which node gave the answer.
 // Negative times: at the moment at which it was heard. Negative node: not known.
 struct Asked {
   double asked = -1, given = -1;
-  int node = -1;
+  int controller = -1;
 };
 
 class Checker {
  public:
   // Without types, no job is too large for them.
-  Checker(std::vector<TeamInfo> teams, double cancel_s, std::vector<TypeInfo> types = {})
+  Checker(std::vector<TeamQuota> teams, double cancel_s, std::vector<MachineType> types = {})
       : teams_(std::move(teams)), types_(std::move(types)), cancel_s_(cancel_s) {}
 
   // What users do and are told.
@@ -81,7 +81,7 @@
     double accepted_at = -1, over_at = -1;  // when a user first heard of it
     std::map<int, double> open_said;        // by node: when it last called the job unfinished
     std::map<int, double> over_said;        // by node: when it first called the job over
-    double aborted_at = -1;                 // when a node first said so
+    double cancelled_at = -1;               // when a node first said so
     double failing_since = -1;              // while others were answered
     double silent_since = -1;               // whether or not others were
     double waits_since = -1;                // though there is room
@@ -94,11 +94,11 @@
   // Why it can never run; empty: it can.
   std::string unfit(const JobTruth& j) const;
   static bool is_served(const JobTruth& j);
-  const TeamInfo* team(const std::string& name) const;
+  const TeamQuota* team(const std::string& name) const;
   bool finds_room(const JobSpec& spec, const std::vector<Room>& rooms) const;
 
-  std::vector<TeamInfo> teams_;
-  std::vector<TypeInfo> types_;
+  std::vector<TeamQuota> teams_;
+  std::vector<MachineType> types_;
   double cancel_s_;
   std::map<std::string, JobTruth> jobs_;
   std::vector<std::string> broken_;
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -14,7 +14,7 @@
   s.id = id;
   s.team = "t";
   s.tasks = 2;
-  s.each = {1, 1, 1};
+  s.per_task = {1, 1, 1};
   return s;
 }
 
@@ -65,7 +65,7 @@
 
 TEST_F(CheckerTest, WrongPlaceForTheOthers) {
   JobSpec s = job("wk-000003");
-  s.one_zone = true;
+  s.single_zone = true;
   checker.submitted(0, s);
   checker.starts(1, "wk-000003", 0, at("m1", "a"));
   EXPECT_FALSE(checker.is_broken("wrong_place"));
@@ -75,7 +75,7 @@
 
 TEST_F(CheckerTest, WrongPlaceWhenScattered) {
   JobSpec s = job("wk-000003");
-  s.scatter = true;
+  s.spread_zones = true;
   checker.submitted(0, s);
   checker.starts(1, "wk-000003", 0, at("m1", "a"));
   EXPECT_FALSE(checker.is_broken("wrong_place"));
@@ -119,8 +119,8 @@
  protected:
   CheckerAcceptedUnfitTest()
       : checker({{"t", 0, 0, 0, 4}}, 30, {type("small", 2, 2), type("large", 8, 8)}) {}
-  static TypeInfo type(const std::string& name, double cpus, double gpus) {
-    TypeInfo t;
+  static MachineType type(const std::string& name, double cpus, double gpus) {
+    MachineType t;
     t.name = name;
     t.size = {cpus, gpus, 16};
     t.zones = {"a"};
@@ -139,11 +139,11 @@
   s.tasks = 100;  // an array runs by and by
   EXPECT_FALSE(taken(s));
   JobSpec gang = job("wk-000002");
-  gang.shape = Shape::gang;
+  gang.shape = JobShape::gang;
   gang.tasks = 4;
   EXPECT_FALSE(taken(gang));
   JobSpec large = job("wk-000003");
-  large.each = {4, 4, 1};
+  large.per_task = {4, 4, 1};
   large.types = {"small", "large"};
   EXPECT_FALSE(taken(large));
 }
@@ -163,20 +163,20 @@
 
 TEST_F(CheckerAcceptedUnfitTest, NoTypeFits) {
   JobSpec s = job("wk-000001");
-  s.each = {4, 1, 1};
+  s.per_task = {4, 1, 1};
   s.types = {"small"};
   EXPECT_TRUE(taken(s));
 }
 
 TEST_F(CheckerAcceptedUnfitTest, OneTaskOfAnArrayIsOverTheLimit) {
   JobSpec s = job("wk-000001");
-  s.each = {1, 5, 1};
+  s.per_task = {1, 5, 1};
   EXPECT_TRUE(taken(s));
 }
 
 TEST_F(CheckerAcceptedUnfitTest, AGangIsOverTheLimit) {
   JobSpec s = job("wk-000001");
-  s.shape = Shape::gang;
+  s.shape = JobShape::gang;
   s.tasks = 5;
   EXPECT_TRUE(taken(s));
 }
@@ -247,8 +247,8 @@
   checker.completed("wk-000001", 0);
   checker.completed("wk-000001", 1);
   JobSpec s = job("wk-000002");
-  s.shape = Shape::gang;
-  s.one_zone = true;
+  s.shape = JobShape::gang;
+  s.single_zone = true;
   checker.submitted(0, s);
   checker.told(1, s.id, "pending", false);
   const Room other{"box", "b", false, {1, 1, 1}};
@@ -262,8 +262,8 @@
   checker.completed("wk-000001", 0);
   checker.completed("wk-000001", 1);
   JobSpec s = job("wk-000002");
-  s.shape = Shape::gang;
-  s.scatter = true;
+  s.shape = JobShape::gang;
+  s.spread_zones = true;
   checker.submitted(0, s);
   checker.told(1, s.id, "pending", false);
   look(100, 300, {one, one});
@@ -289,8 +289,8 @@
     s.lease_s = 20;
     return s;
   }
-  static TypeInfo type() {
-    TypeInfo t;
+  static MachineType type() {
+    MachineType t;
     t.name = "box";
     t.size = {16, 4, 64};
     t.boot_s = 1;
@@ -318,7 +318,7 @@
     world.call(
         "n0", machine->name, 1,
         [this] {
-          machine->direct(1, 1, {{Verb::run, "wk-000001", 0, 1, 0}});
+          machine->direct(1, 1, {{CommandKind::start, "wk-000001", 0, 1, 0}});
         },
         [](bool) {});
   }
@@ -560,7 +560,7 @@
   shorter.run_s = 50;
   world.checker.submitted(0, shorter.spec);
   order();
-  machine->direct(1, 1, {{Verb::run, "wk-000002", 0, 2, 0}});
+  machine->direct(1, 1, {{CommandKind::start, "wk-000002", 0, 2, 0}});
   world.clock.run(6);
   world.cancel_now(1, 5);
   EXPECT_TRUE(machine->hung);
@@ -577,7 +577,7 @@
   world.clock.run(9);
   EXPECT_EQ(j.done.size(), 1u);
   EXPECT_FALSE(j.abort_asked) << "one of two has ended";
-  machine->direct(1, 1, {{Verb::run, "wk-000001", 1, 2, 0}});
+  machine->direct(1, 1, {{CommandKind::start, "wk-000001", 1, 2, 0}});
   world.clock.run(12);
   EXPECT_TRUE(j.abort_asked);
 }
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -6,10 +6,10 @@
 
 #include <fstream>
 
-#include "core/core.h"
-#include "core/rented_list.h"
-#include "core_fixtures.h"
+#include "ledger/rented_list.h"
 #include "mesh/mesh.h"
+#include "scheduler/scheduler.h"
+#include "scheduler_fixtures.h"
 
 namespace rookdyke {
 namespace {
@@ -39,17 +39,17 @@
   }
 
   // A replica's copy of the ledger as version 0.1 left it.
-  Mirror old_ledger() const {
-    Mirror mirror;
+  LedgerCache old_ledger() const {
+    LedgerCache ledger_cache;
     uint64_t version = 10;
     for (const auto& [id, row] : old.at("jobs").items())
-      mirror.put(ledger::job_key(id), row, ++version);
+      ledger_cache.put(ledger::job_key(id), row, ++version);
     for (const auto& [n, page] : old.at("pages").items())
-      mirror.put(ledger::kTaskPrefix + n, page, ++version);
-    mirror.put(ledger::kTypesKey, old.at("types"), ++version);
-    mirror.put(ledger::fleet_key(0), old.at("rented"), ++version);
-    mirror.put(ledger::kLeaderKey, old.at("leader"), ++version);
-    return mirror;
+      ledger_cache.put(ledger::kTaskPrefix + n, page, ++version);
+    ledger_cache.put(ledger::kTypesKey, old.at("types"), ++version);
+    ledger_cache.put(ledger::fleet_key(0), old.at("rented"), ++version);
+    ledger_cache.put(ledger::kLeaderKey, old.at("leader"), ++version);
+    return ledger_cache;
   }
 
   json old = read_old_rows();
@@ -61,7 +61,7 @@
     const auto row = ledger::decode_job(id, value);
     ASSERT_TRUE(row) << id;
     EXPECT_EQ(ledger::encode(*row), value) << id;
-    EXPECT_TRUE(!row->spec || row->spec->shape != Shape::service) << id;
+    EXPECT_TRUE(!row->spec || row->spec->shape != JobShape::service) << id;
   }
   for (const auto& [n, value] : old.at("pages").items()) {
     const auto page = ledger::decode_page(value);
@@ -74,7 +74,7 @@
 }
 
 TEST_F(Compatibility, TheRentedListIsReadAndWrittenInTheSameForm) {
-  Names types, zones;
+  NameTable types, zones;
   types.intern("box");
   RentedList list(2048);
   const auto machines = list.load({{ledger::fleet_key(0), {12, old.at("rented")}}}, types, zones);
@@ -82,7 +82,7 @@
   EXPECT_EQ(machines[0].type, 0u);
   EXPECT_EQ(zones.name(machines[0].zone), "a");
   ledger::Transaction t;
-  t.mark = old.at("rented").at("w").get<std::string>();
+  t.transaction_id = old.at("rented").at("w").get<std::string>();
   list.write(
       1, 5,
       [&](Index i) -> std::optional<RentedMachine> {
@@ -114,52 +114,52 @@
 TEST_F(Compatibility, AServiceIsAnArrayWithOneMoreField) {
   auto row = ledger::decode_job("wk-000101", old.at("jobs").at("wk-000101"));
   ASSERT_TRUE(row && row->spec);
-  row->spec->shape = Shape::service;
+  row->spec->shape = JobShape::service;
   json value = ledger::encode(*row);
   const auto back = ledger::decode_job("wk-000101", value);
   ASSERT_TRUE(back && back->spec);
-  EXPECT_EQ(back->spec->shape, Shape::service);
+  EXPECT_EQ(back->spec->shape, JobShape::service);
   EXPECT_EQ(value.at("spec").erase("service"), 1u);
   EXPECT_EQ(value, old.at("jobs").at("wk-000101"));
 }
 
 TEST_F(Compatibility, ANewLeaderTakesOverAllThatAnOldOneLeft) {
-  const Mirror mirror = old_ledger();
-  EXPECT_EQ(mirror.leader(), "node-2");
-  Core core(settings, mirror.types(), kToken, 0);
-  core.load(mirror, 0);
-  const Job* array = core.find_job("wk-000101");
+  const LedgerCache ledger_cache = old_ledger();
+  EXPECT_EQ(ledger_cache.leader(), "node-2");
+  Scheduler scheduler(settings, ledger_cache.types(), kToken, 0);
+  scheduler.load(ledger_cache, 0);
+  const Job* array = scheduler.find_job("wk-000101");
   ASSERT_TRUE(array);
   EXPECT_EQ(array->done_count, 41u);
   EXPECT_EQ(array->attempts.size(), 150u);
-  EXPECT_EQ(array->top, 3u);
+  EXPECT_EQ(array->highest_attempt, 3u);
   EXPECT_EQ(array->waiting.size(), 300u - 41u - 150u);
-  const Job* gang = core.find_job("wk-000102");
+  const Job* gang = scheduler.find_job("wk-000102");
   ASSERT_TRUE(gang);
-  EXPECT_TRUE(gang->gang());
+  EXPECT_TRUE(gang->is_gang());
   EXPECT_EQ(gang->attempts.size(), 4u);
-  const Job* cancelled = core.find_job("wk-000103");
+  const Job* cancelled = scheduler.find_job("wk-000103");
   ASSERT_TRUE(cancelled);
   EXPECT_TRUE(cancelled->attempts.at(1).stop);
-  EXPECT_FALSE(core.find_job("wk-000104")) << "it is done";
-  EXPECT_TRUE(mirror.answer("wk-000104"));
+  EXPECT_FALSE(scheduler.find_job("wk-000104")) << "it is done";
+  EXPECT_TRUE(ledger_cache.answer("wk-000104"));
 }
 
 // Until the state service has lowered its limits an old replica may lead again: all is written in
 // the form that it reads, chunks whole and in their pages.
 TEST_F(Compatibility, BeforeTheLimitsAreLoweredPagesKeepTheirForm) {
-  const Mirror mirror = old_ledger();
-  Core core(settings, mirror.types(), kToken, 0);
-  core.load(mirror, 0);
+  const LedgerCache ledger_cache = old_ledger();
+  Scheduler scheduler(settings, ledger_cache.types(), kToken, 0);
+  scheduler.load(ledger_cache, 0);
   // One machine's tasks have ended.
-  Report r = bare_report(0, 1, kToken);
+  Heartbeat r = bare_heartbeat(0, 1, kToken);
   r.machine = "m-000112";
   for (uint32_t t = 100; t < 104; ++t)
-    r.tasks.push_back({"wk-000101", t, 3, Seen::exited, Cause::done, false});
-  core.on_report(r, 1);
+    r.tasks.push_back({"wk-000101", t, 3, TaskPhase::exited, ExitCause::done, false});
+  scheduler.on_heartbeat(r, 1);
   bool written = false;
   for (double now = 1; now < 30; now += 1)
-    while (auto p = core.next_transaction(now)) {
+    while (auto p = scheduler.next_transaction(now)) {
       const auto& change = p->txn.changes.at(0);
       if (change.key == ledger::page_key(0)) {
         written = true;
@@ -167,7 +167,7 @@
         EXPECT_EQ(change.value.at("e").at(0).at(1), 0);
         EXPECT_EQ(change.value.at("e").at(0).at(4).size(), 145u);
       }
-      core.on_result(p->id, {Outcome::applied, 100, {}}, now);
+      scheduler.on_result(p->id, {Outcome::applied, 100, {}}, now);
     }
   EXPECT_TRUE(written);
 }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -37,27 +37,27 @@
 
 TEST(Config, TakesThePlatformsFileAndIgnoresWhatItDoesNotKnow) {
   const Config c = parse_config(good().dump());
-  EXPECT_EQ(c.core.label, "n0");
+  EXPECT_EQ(c.scheduler.label, "n0");
   EXPECT_EQ(c.siblings.at(0).mesh.port, 3);
-  EXPECT_EQ(c.core.value_bytes, 8192u);
-  EXPECT_DOUBLE_EQ(c.core.teams.at(0).cpus_max, 2);
+  EXPECT_EQ(c.scheduler.value_bytes, 8192u);
+  EXPECT_DOUBLE_EQ(c.scheduler.teams.at(0).cpus_max, 2);
 }
 
 TEST(Config, TheNextLimitsOfTheStateServiceAreOptional) {
-  EXPECT_FALSE(parse_config(good().dump()).core.next_limits);
+  EXPECT_FALSE(parse_config(good().dump()).scheduler.next_limits);
   json j = good();
   j["params"]["state"]["next"] = nullptr;
-  EXPECT_FALSE(parse_config(j.dump()).core.next_limits);
+  EXPECT_FALSE(parse_config(j.dump()).scheduler.next_limits);
   j["params"]["state"]["next"] = {
       {"write_rps", 18.0}, {"value_kb", 2.0}, {"txn_ops", 5}, {"something_new", 1}};
   const Config c = parse_config(j.dump());
-  ASSERT_TRUE(c.core.next_limits);
-  EXPECT_EQ(c.core.next_limits->value_bytes, 2048u);
-  EXPECT_EQ(c.core.next_limits->txn_ops, 5u);
-  EXPECT_DOUBLE_EQ(c.core.next_limits->write_rps, 18);
-  EXPECT_EQ(c.core.lasting_value_bytes(), 2048u);
-  EXPECT_EQ(c.core.lasting_txn_ops(), 5u);
-  EXPECT_EQ(c.core.value_bytes, 8192u);
+  ASSERT_TRUE(c.scheduler.next_limits);
+  EXPECT_EQ(c.scheduler.next_limits->value_bytes, 2048u);
+  EXPECT_EQ(c.scheduler.next_limits->txn_ops, 5u);
+  EXPECT_DOUBLE_EQ(c.scheduler.next_limits->write_rps, 18);
+  EXPECT_EQ(c.scheduler.lasting_value_bytes(), 2048u);
+  EXPECT_EQ(c.scheduler.lasting_txn_ops(), 5u);
+  EXPECT_EQ(c.scheduler.value_bytes, 8192u);
   for (const char* field : {"write_rps", "value_kb", "txn_ops"}) {
     for (const json& wrong : {json(), json("2"), json(0), json(-1)}) {
       json bad = j;
@@ -107,15 +107,15 @@
 
 TEST_F(Ini, SetsTuning) {
   EXPECT_EQ(error_of("[forecast]\npercentile = 0.9\nhistory = 50\n[fleet]\nlull_s = 45\n"), "");
-  EXPECT_DOUBLE_EQ(config.core.tuning.percentile, 0.9);
-  EXPECT_EQ(config.core.tuning.history, 50);
-  EXPECT_DOUBLE_EQ(config.core.tuning.lull_s, 45);
+  EXPECT_DOUBLE_EQ(config.scheduler.tuning.percentile, 0.9);
+  EXPECT_EQ(config.scheduler.tuning.history, 50);
+  EXPECT_DOUBLE_EQ(config.scheduler.tuning.scale_in_delay_s, 45);
 }
 
 TEST_F(Ini, TheSampleStatesTheDefaults) {
   Config sample = config;
   apply_ini(sample, ROOKDYKE_SOURCE "/deploy/rookdyke.ini");
-  const Tuning &a = sample.core.tuning, b;
+  const Tuning &a = sample.scheduler.tuning, b;
   EXPECT_DOUBLE_EQ(a.sample_s, b.sample_s);
   EXPECT_DOUBLE_EQ(a.trend_s, b.trend_s);
   EXPECT_DOUBLE_EQ(a.percentile, b.percentile);
@@ -123,18 +123,18 @@
   EXPECT_DOUBLE_EQ(a.safe_fraction, b.safe_fraction);
   EXPECT_DOUBLE_EQ(a.boot_window_s, b.boot_window_s);
   EXPECT_DOUBLE_EQ(a.start_spare, b.start_spare);
-  EXPECT_DOUBLE_EQ(a.lull_s, b.lull_s);
+  EXPECT_DOUBLE_EQ(a.scale_in_delay_s, b.scale_in_delay_s);
   EXPECT_DOUBLE_EQ(a.drain_deadline_s, b.drain_deadline_s);
-  EXPECT_DOUBLE_EQ(a.rent_every_s, b.rent_every_s);
-  EXPECT_DOUBLE_EQ(a.refusal_s, b.refusal_s);
-  EXPECT_DOUBLE_EQ(a.boot_patience, b.boot_patience);
-  EXPECT_DOUBLE_EQ(a.silence_s, b.silence_s);
+  EXPECT_DOUBLE_EQ(a.rental_interval_s, b.rental_interval_s);
+  EXPECT_DOUBLE_EQ(a.capacity_retry_s, b.capacity_retry_s);
+  EXPECT_DOUBLE_EQ(a.boot_timeout_factor, b.boot_timeout_factor);
+  EXPECT_DOUBLE_EQ(a.heartbeat_timeout_s, b.heartbeat_timeout_s);
   EXPECT_DOUBLE_EQ(a.round_s, b.round_s);
   EXPECT_DOUBLE_EQ(a.round_max_s, b.round_max_s);
-  EXPECT_DOUBLE_EQ(a.small_first, b.small_first);
+  EXPECT_DOUBLE_EQ(a.short_job_preference_s, b.short_job_preference_s);
   EXPECT_DOUBLE_EQ(sample.lease_ttl_s, config.lease_ttl_s);
-  EXPECT_DOUBLE_EQ(sample.watch_s, config.watch_s);
-  EXPECT_DOUBLE_EQ(sample.follow_s, config.follow_s);
+  EXPECT_DOUBLE_EQ(sample.leader_watch_s, config.leader_watch_s);
+  EXPECT_DOUBLE_EQ(sample.follower_watch_s, config.follower_watch_s);
 }
 
 TEST_F(Ini, RefusesWhatItDoesNotKnowOrCannotUse) {
--- a/tests/connection_pool_test.cpp
+++ b/tests/connection_pool_test.cpp
@@ -18,8 +18,8 @@
 // Nothing is sent here: the address leads nowhere.
 class ConnectionPoolTest : public testing::Test {
  protected:
-  Budgets budgets{1000, 1000};
-  ConnectionPool pool{{"127.0.0.1", 1}, budgets, 2};
+  RateLimiters limiters{1000, 1000};
+  ConnectionPool pool{{"127.0.0.1", 1}, limiters, 2};
 };
 
 TEST_F(ConnectionPoolTest, LendsNoMoreThanItsBound) {
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -30,12 +30,12 @@
 // One controller without siblings.
 class Election : public testing::Test {
  protected:
-  std::unique_ptr<Node> started() {
+  std::unique_ptr<Controller> started() {
     Config c = config("n-a", state.port(), cloud.port());
     c.nodes = 1;
-    auto node = std::make_unique<Node>(c);
-    if (!node->start()) throw std::runtime_error("no port");
-    return node;
+    auto controller = std::make_unique<Controller>(c);
+    if (!controller->start()) throw std::runtime_error("no port");
+    return controller;
   }
   void TearDown() override { cloud.use({{"n-a", 1}}); }  // its threads end without a node
 
@@ -52,8 +52,8 @@
     const bool first = c && marks.insert(c->value.at("w").get<std::string>()).second;
     return Fate{true, !first};
   });
-  const auto node = started();
-  EXPECT_TRUE(until([&] { return node->role() == Role::leading; }));
+  const auto controller = started();
+  EXPECT_TRUE(until([&] { return controller->role() == Role::leading; }));
   state.decide({});
 }
 
@@ -86,18 +86,18 @@
     if (!leader_write(t) || late.exchange(true)) return Fate{};
     return Fate{true, false, {*held}};
   });
-  const auto node = started();
+  const auto controller = started();
   // It gives the lease back that it asked for the key with.
-  EXPECT_TRUE(
-      until([&] { return state.leases_given_back() > before || node->role() == Role::leading; }));
-  EXPECT_NE(node->role(), Role::leading);
+  EXPECT_TRUE(until(
+      [&] { return state.leases_given_back() > before || controller->role() == Role::leading; }));
+  EXPECT_NE(controller->role(), Role::leading);
   const auto* row = state.row(ledger::kLeaderKey);
   ASSERT_TRUE(row);
   const json predecessors = leader_write(*held)->value;
   EXPECT_EQ(row->value, predecessors);
   // The key goes with its lease; then the successor is elected.
   state.end_lease(leader_write(*held)->lease);
-  EXPECT_TRUE(until([&] { return node->role() == Role::leading; }));
+  EXPECT_TRUE(until([&] { return controller->role() == Role::leading; }));
   row = state.row(ledger::kLeaderKey);
   ASSERT_TRUE(row);
   EXPECT_NE(row->value, predecessors);
@@ -138,17 +138,17 @@
   CloudAndWorkers cloud;
   SiblingStandIn sibling;
   Config c = config("n-a", state.port(), cloud.port());
-  c.core.lease_s = 20;
-  c.core.cancel_s = 600;  // what may have been cancelled unheard is no reason here
+  c.scheduler.lease_s = 20;
+  c.scheduler.cancel_s = 600;  // what may have been cancelled unheard is no reason here
   c.siblings = {{"n-b", {"127.0.0.1", sibling.port()}}};
-  Node node(c);
-  ASSERT_TRUE(node.start());
-  cloud.use({{"n-a", node.port()}});
-  ASSERT_TRUE(until([&] { return node.role() == Role::leading; }));
+  Controller controller(c);
+  ASSERT_TRUE(controller.start());
+  cloud.use({{"n-a", controller.port()}});
+  ASSERT_TRUE(until([&] { return controller.role() == Role::leading; }));
   uint64_t tally = 0;
   // The status that a worker is answered with, and what is said with it.
   const auto report = [&] {
-    httplib::Client http("127.0.0.1", node.port());
+    httplib::Client http("127.0.0.1", controller.port());
     http.set_read_timeout(10, 0);
     const auto r = http.Post("/hello",
                              wire::pack({{"croft", "m-000099"},
@@ -168,7 +168,7 @@
   };
   ASSERT_TRUE(until([&] { return report().first == 200; }));
   state.set_outage(true);
-  ASSERT_TRUE(until([&] { return node.role() == Role::doubtful; }));
+  ASSERT_TRUE(until([&] { return controller.role() == Role::unconfirmed; }));
   // An outage that a sibling lives through with it: its workers keep their work, also when the
   // state service has been away for longer than a lone leader waits.
   const auto longer = std::chrono::steady_clock::now() + std::chrono::seconds(7);
@@ -179,7 +179,7 @@
   }));
   sibling.answers = false;
   EXPECT_TRUE(until([&] { return report() == std::make_pair(503, std::string("cut off")); }));
-  EXPECT_EQ(node.role(), Role::doubtful);
+  EXPECT_EQ(controller.role(), Role::unconfirmed);
   sibling.answers = true;  // heard again, it is a witness again
   EXPECT_TRUE(until([&] { return report().first == 200; }));
 }
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -21,7 +21,7 @@
 #include <utility>
 #include <vector>
 
-#include "daemon/node.h"
+#include "daemon/controller.h"
 #include "net/server.h"
 #include "sim.h"
 #include "wire/wire.h"
@@ -94,9 +94,9 @@
     }
   }
   // From now on larger values and transactions are answered 400.
-  void lower_limits(const StateLimits& to) {
+  void apply_lowered_limits(const StateLimits& to) {
     std::lock_guard lock(mutex_);
-    store_.lower_limits(to);
+    store_.apply_lowered_limits(to);
   }
   size_t rejected() {
     std::lock_guard lock(mutex_);
@@ -287,7 +287,7 @@
 
   void work(const std::string& name, bool spot) {
     std::map<std::string, json> tasks;
-    uint64_t token = 0, tally = 0;
+    uint64_t fencing_token = 0, tally = 0;
     // Machines may be rented before the nodes' ports are known here.
     std::map<std::string, int> nodes;
     {
@@ -295,11 +295,11 @@
       known_.wait(lock, [this] { return !nodes_.empty(); });
       nodes = nodes_;
     }
-    auto node = nodes.begin();
+    auto controller = nodes.begin();
     while (!stop_) {
       json list = json::array();
       for (const auto& [k, t] : tasks) list.push_back(t);
-      httplib::Client c("127.0.0.1", node->second);
+      httplib::Client c("127.0.0.1", controller->second);
       const auto r = c.Post("/hello",
                             wire::pack({{"croft", name},
                                         {"addr", ""},
@@ -308,12 +308,12 @@
                                         {"loaners", spot},
                                         {"tenure", 1},
                                         {"tally", ++tally},
-                                        {"warrant", token},
+                                        {"warrant", fencing_token},
                                         {"shifts", list}}),
                             "application/msgpack");
       if (r && r->status == 200) {
         const json a = body_of(r->body);
-        token = a.at("warrant").get<uint64_t>();
+        fencing_token = a.at("warrant").get<uint64_t>();
         for (const json& o : a.at("orders")) {
           const std::string k = o.at("shift").get<std::string>();
           if (o.at("verb") == "run" && !tasks.count(k))
@@ -329,9 +329,9 @@
         const json a = r ? body_of(r->body) : json();
         const std::string leader = a.is_object() ? a.value("steward", "") : "";
         if (nodes.count(leader))
-          node = nodes.find(leader);
-        else if (++node == nodes.end())
-          node = nodes.begin();
+          controller = nodes.find(leader);
+        else if (++controller == nodes.end())
+          controller = nodes.begin();
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
     }
@@ -375,11 +375,12 @@
 
 inline Config config(const std::string& label, int state, int cloud) {
   Config c;
-  c.core.label = label;
-  c.core.zones = {"a"};
-  c.core.teams = {{"t", 0, 2, 0, 0}};
-  c.core.report_s = 30;  // the worker here is quick; nothing is silent for this test's length
-  c.core.lease_s = 300;
+  c.scheduler.label = label;
+  c.scheduler.zones = {"a"};
+  c.scheduler.teams = {{"t", 0, 2, 0, 0}};
+  c.scheduler.heartbeat_interval_s =
+      30;  // the worker here is quick; nothing is silent for this test's length
+  c.scheduler.lease_s = 300;
   c.bind = c.mesh = {"127.0.0.1", 0};
   c.state = {"127.0.0.1", state};
   c.cloud = {"127.0.0.1", cloud};
@@ -439,30 +440,31 @@
     if (!a_ || !b_) throw std::runtime_error("no ports");
     cloud.use({{"n-a", a().port()}, {"n-b", b().port()}});
   }
-  static std::unique_ptr<Node> started(const Config& c) {
-    auto n = std::make_unique<Node>(c);
+  static std::unique_ptr<Controller> started(const Config& c) {
+    auto n = std::make_unique<Controller>(c);
     return n->start() ? std::move(n) : nullptr;
   }
-  Node& a() { return *a_; }
-  Node& b() { return *b_; }
-  Node& leader() { return a().role() == Role::leading ? a() : b(); }
-  Node& follower() { return a().role() == Role::leading ? b() : a(); }
+  Controller& a() { return *a_; }
+  Controller& b() { return *b_; }
+  Controller& leader() { return a().role() == Role::leading ? a() : b(); }
+  Controller& follower() { return a().role() == Role::leading ? b() : a(); }
   bool somebody_leads() {
     return until([&] { return a().role() == Role::leading || b().role() == Role::leading; });
   }
-  std::pair<int, json> ask(Node& n, const std::string& path, const std::string* body = nullptr) {
+  std::pair<int, json> ask(Controller& n, const std::string& path,
+                           const std::string* body = nullptr) {
     httplib::Client c("127.0.0.1", n.port());
     c.set_read_timeout(10, 0);
     const auto r = body ? c.Post(path, *body, "application/msgpack") : c.Get(path);
     return r ? std::make_pair(r->status, body_of(r->body)) : std::make_pair(0, json());
   }
-  int submit(Node& n, const json& j) {
+  int submit(Controller& n, const json& j) {
     const std::string body = wire::pack(j);
     int status = 0;
     EXPECT_TRUE(until([&] { return (status = ask(n, "/v2/runs", &body).first) != 503; }));
     return status;
   }
-  std::string standing(Node& n, const std::string& id) {
+  std::string standing(Controller& n, const std::string& id) {
     const auto [status, j] = ask(n, "/v2/runs/" + id);
     return status == 200 ? j.at("standing").get<std::string>() : std::to_string(status);
   }
@@ -471,7 +473,7 @@
   CloudAndWorkers cloud;
 
  private:
-  std::unique_ptr<Node> a_, b_;
+  std::unique_ptr<Controller> a_, b_;
 };
 
 class Loopback : public Pair {
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -127,7 +127,7 @@
 // that is known to refuse: nothing is held back until its user would give up.
 TEST_F(Loopback, WhatIsKnownToFailIsRefusedAtOnce) {
   ASSERT_TRUE(somebody_leads());
-  Node& follower = this->follower();
+  Controller& follower = this->follower();
   EXPECT_EQ(submit(follower, job("wk-000011", 2000)), 201);
   state.set_outage(true);
   const auto refused = [&](const char* path, const std::string* body) {
@@ -175,16 +175,16 @@
   Config c = config("n-a", state.port(), cloud.port());
   c.nodes = 1;
   c.state_rps = 20;  // some five looks a second
-  Node node(c);
-  ASSERT_TRUE(node.start());
-  cloud.use({{"n-a", node.port()}});
-  ASSERT_TRUE(until([&] { return node.role() == Role::leading; }));
+  Controller controller(c);
+  ASSERT_TRUE(controller.start());
+  cloud.use({{"n-a", controller.port()}});
+  ASSERT_TRUE(until([&] { return controller.role() == Role::leading; }));
   std::atomic<size_t> answered{0};
   const size_t before = state.watches();
   std::vector<std::thread> users;
   for (size_t i = 0; i < kUsers; ++i)
     users.emplace_back([&] {
-      httplib::Client http("127.0.0.1", node.port());
+      httplib::Client http("127.0.0.1", controller.port());
       http.set_read_timeout(10, 0);
       for (size_t k = 0; k < kPolls; ++k) {
         // That there is no such job is said only after a look at the ledger.
@@ -217,20 +217,20 @@
     CloudAndWorkers cloud;
     Config c = config("n-a", state.port(), cloud.port());
     c.nodes = 1;
-    c.core.teams = {{"t", 0, 0, 0, 0}};
+    c.scheduler.teams = {{"t", 0, 0, 0, 0}};
     c.max_sockets = 6;
-    Node node(c);
-    ASSERT_TRUE(node.start());
-    cloud.use({{"n-a", node.port()}});
+    Controller controller(c);
+    ASSERT_TRUE(controller.start());
+    cloud.use({{"n-a", controller.port()}});
     const std::string body = wire::pack(job("wk-000031", 4000));  // far more than four machines
     EXPECT_TRUE(until([&] {
-      httplib::Client http("127.0.0.1", node.port());
+      httplib::Client http("127.0.0.1", controller.port());
       const auto r = http.Post("/v2/runs", body, "application/msgpack");
       return r && (r->status == 201 || r->status == 200);
     }));
     EXPECT_TRUE(until([&] { return warnings() > 0; }));
     EXPECT_TRUE(until([&] {
-      httplib::Client http("127.0.0.1", node.port());
+      httplib::Client http("127.0.0.1", controller.port());
       const auto r = http.Get("/v2/runs/wk-000031");
       return r && r->status == 200 && body_of(r->body).at("done").get<int>() > 0;
     }));
@@ -384,14 +384,14 @@
                      });
   ASSERT_TRUE(server.start());
   {
-    net::Budget budget(100);
-    cloud::Client client({"127.0.0.1", server.port()}, budget);
+    net::RateLimiter limiter(100);
+    cloud::Client client({"127.0.0.1", server.port()}, limiter);
     const RentalRequest request{"h-1", "box", "a", false, 1};
     EXPECT_EQ(client.rent(request, [] { return false; }).outcome, CloudOutcome::refused);
-    EXPECT_EQ(client.give_back({"m-1"}, [] { return false; }), CloudOutcome::refused);
+    EXPECT_EQ(client.return_machines({"m-1"}, [] { return false; }), CloudOutcome::refused);
     EXPECT_EQ(asked, 0);
     EXPECT_EQ(client.rent(request, [] { return true; }).machines.size(), 1u);
-    EXPECT_EQ(client.give_back({"m-1"}, [] { return true; }), CloudOutcome::done);
+    EXPECT_EQ(client.return_machines({"m-1"}, [] { return true; }), CloudOutcome::done);
     EXPECT_EQ(asked, 2);
   }
   server.halt();
@@ -406,8 +406,8 @@
       [&](const httplib::Request&, httplib::Response& r) { put(r, status, answer); });
   ASSERT_TRUE(server.start());
   {
-    net::Budget budget(1000);
-    cloud::Client client({"127.0.0.1", server.port()}, budget);
+    net::RateLimiter limiter(1000);
+    cloud::Client client({"127.0.0.1", server.port()}, limiter);
     const RentalRequest request{"h-1", "box", "a", false, 1};
     status = 503;
     answer = {{"error", 3}};
@@ -435,11 +435,11 @@
       });
   ASSERT_TRUE(server.start());
   {
-    state::Budgets budgets(1000, 1000);
-    state::Client client({"127.0.0.1", server.port()}, budgets);
+    state::RateLimiters limiters(1000, 1000);
+    state::Client client({"127.0.0.1", server.port()}, limiters);
     ledger::Transaction t;
     t.changes = {{"a", false, json(1), 0}};
-    t.mark = "m";
+    t.transaction_id = "m";
     EXPECT_EQ(client.commit_repeated(t, 1).outcome, ledger::Outcome::conflict);
     EXPECT_FALSE(client.grant(1));
     EXPECT_TRUE(client.range("", "", 1));
@@ -452,7 +452,7 @@
   mesh::View v;
   v.label = "n1";
   v.leader = "n2";
-  v.token = 9;
+  v.fencing_token = 9;
   v.state_ok = true;
   v.writes = 2.5;
   v.images = {{"images", 1}};
@@ -522,7 +522,7 @@
                        v.label = "n1";
                        v.incarnation = "n1.7";
                        v.leader = "n2";
-                       v.token = 9;
+                       v.fencing_token = 9;
                        v.read_to = 31;
                        v.state_ok = true;
                        v.writes = 2.5;
@@ -534,17 +534,17 @@
     mesh::Peer peer({"n1", {"127.0.0.1", server.port()}});
     mesh::View ours;
     ours.label = ours.leader = "n0";
-    ours.token = 4;
+    ours.fencing_token = 4;
     const auto v = peer.exchange(ours);
     ASSERT_TRUE(v);
-    EXPECT_EQ(v->token, 9u);
+    EXPECT_EQ(v->fencing_token, 9u);
     EXPECT_EQ(v->leader, "n2");
     EXPECT_EQ(v->incarnation, "n1.7");
     EXPECT_EQ(v->read_to, 31u);
     EXPECT_EQ(v->images.at("images"), 1);
   }
   server.halt();
-  EXPECT_EQ(heard.token, 4u);
+  EXPECT_EQ(heard.fencing_token, 4u);
   EXPECT_FALSE(mesh::decode("{}"));
 }
 
@@ -559,15 +559,15 @@
   ASSERT_TRUE(server.start());
   {
     mesh::Peer peer({"n1", {"127.0.0.1", server.port()}});
-    EXPECT_EQ(peer.tell({7, {{"wk-000001", {{"standing", 2}}, 12}}}), 9u);
+    EXPECT_EQ(peer.send_cancellations({7, {{"wk-000001", {{"standing", 2}}, 12}}}), 9u);
     ASSERT_TRUE(heard);
-    EXPECT_EQ(heard->token, 7u);
+    EXPECT_EQ(heard->fencing_token, 7u);
     ASSERT_EQ(heard->rows.size(), 1u);
     EXPECT_EQ(heard->rows[0].job, "wk-000001");
     EXPECT_EQ(heard->rows[0].version, 12u);
     for (const char* bad : {"", "[]", "7", R"({"token":"9"})", R"({"token":-1})", "{}"}) {
       answer = bad;
-      EXPECT_FALSE(peer.tell({7, {}})) << bad;
+      EXPECT_FALSE(peer.send_cancellations({7, {}})) << bad;
     }
   }
   server.halt();
--- a/tests/lowered_limits_test.cpp
+++ b/tests/lowered_limits_test.cpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "core/core.h"
-#include "core_fixtures.h"
+#include "scheduler/scheduler.h"
+#include "scheduler_fixtures.h"
 
 namespace rookdyke {
 namespace {
@@ -43,22 +43,22 @@
     add_job(kSmall, kSmallTasks, page);
     add_job(kArray, kTasks, page);
     rows[ledger::page_key(0)] = {ledger::encode(page), 4};
-    core = leader();
+    scheduler = leader();
   }
 
   void add_job(const std::string& id, uint32_t tasks, ledger::Page& page) {
     ledger::JobRow row;
     row.tasks = tasks;
-    row.per = kPer;
+    row.chunk_size = kPer;
     row.spec = JobSpec{};
     row.spec->team = "team";
-    row.spec->each = {1, 1, 1};
+    row.spec->per_task = {1, 1, 1};
     rows[ledger::job_key(id)] = {ledger::encode(row), 3};
     for (uint32_t n = 0; n * kPer < tasks; ++n) {
       ledger::PageEntry entry;
       entry.job = id;
       entry.n = n;
-      entry.chunk.top = 1;
+      entry.chunk.highest_attempt = 1;
       for (uint32_t t = n * kPer; t < std::min(tasks, (n + 1) * kPer); ++t)
         entry.chunk.live.push_back({t, 1, machine({id, t}), 1});
       page.entries.push_back(entry);
@@ -70,17 +70,18 @@
   }
 
   // A leader that has just read the ledger, pages in that order.
-  std::unique_ptr<Core> leader(bool backwards = false) const {
-    Mirror mirror;
+  std::unique_ptr<Scheduler> leader(bool backwards = false) const {
+    LedgerCache ledger_cache;
     std::vector<std::pair<std::string, std::pair<json, uint64_t>>> order(rows.begin(), rows.end());
     if (backwards) std::reverse(order.begin(), order.end());
-    for (const auto& [key, row] : order) mirror.put(key, row.first, row.second);
-    auto out = std::make_unique<Core>(settings, std::vector<TypeInfo>{bare_type()}, kToken, 0);
-    out->load(mirror, 0);
+    for (const auto& [key, row] : order) ledger_cache.put(key, row.first, row.second);
+    auto out =
+        std::make_unique<Scheduler>(settings, std::vector<MachineType>{bare_type()}, kToken, 0);
+    out->load(ledger_cache, 0);
     return out;
   }
 
-  static std::set<Task> attempts_of(const Core& c) {
+  static std::set<Task> attempts_of(const Scheduler& c) {
     std::set<Task> out;
     for (const std::string id : {kSmall, kArray})
       if (const Job* job = c.find_job(id))
@@ -89,11 +90,11 @@
     return out;
   }
 
-  void end_task(const Task& task, Cause cause, double now) {
-    Report r = bare_report(0, 1, kToken);
+  void end_task(const Task& task, ExitCause cause, double now) {
+    Heartbeat r = bare_heartbeat(0, 1, kToken);
     r.machine = machine(task);
-    r.tasks.push_back({task.first, task.second, 1, Seen::exited, cause, false});
-    core->on_report(r, now);
+    r.tasks.push_back({task.first, task.second, 1, TaskPhase::exited, cause, false});
+    scheduler->on_heartbeat(r, now);
   }
 
   // The tasks that an entry of a page is about.
@@ -113,9 +114,9 @@
 
   // The next write of a page; what else is to be written is written.
   std::optional<PendingTransaction> page_write(double now) {
-    while (auto p = core->next_transaction(now)) {
+    while (auto p = scheduler->next_transaction(now)) {
       if (p->txn.changes.at(0).key.rfind(ledger::kTaskPrefix, 0) == 0) return p;
-      core->on_result(p->id, {Outcome::applied, ++revision, {}}, now);
+      scheduler->on_result(p->id, {Outcome::applied, ++revision, {}}, now);
     }
     return std::nullopt;
   }
@@ -128,7 +129,7 @@
       large = large || ledger::value_size(c.value) > settings.next_limits->value_bytes;
     if (large) {
       ++rejected;
-      core->on_result(p.id, {Outcome::rejected, 0, {}}, now);
+      scheduler->on_result(p.id, {Outcome::rejected, 0, {}}, now);
       return;
     }
     ++revision;
@@ -139,7 +140,7 @@
       for (const json& entry : c.value.at("e"))
         for (const Task& task : tasks_of(entry)) rewritten.insert(task);
     }
-    core->on_result(p.id, {Outcome::applied, revision, {}}, now);
+    scheduler->on_result(p.id, {Outcome::applied, revision, {}}, now);
   }
 
   Settings settings;
@@ -148,21 +149,21 @@
   size_t rejected = 0;
   std::vector<std::string> written;
   std::set<Task> rewritten;  // tasks that a page that was written now is about
-  std::unique_ptr<Core> core;
+  std::unique_ptr<Scheduler> scheduler;
 };
 
 TEST_F(LoweredLimits, APageThatIsTooLargeIsSplitAndNoAttemptIsLostOrTakenForRunning) {
-  std::set<Task> expected = attempts_of(*core);
+  std::set<Task> expected = attempts_of(*scheduler);
   ASSERT_EQ(expected.size(), kTasks + kSmallTasks);
   const std::set<Task> ended = {
       {kSmall, 7}, {kArray, 3}, {kArray, 60}, {kArray, 200}, {kArray, 260}};
   for (const Task& task : ended) {
-    end_task(task, Cause::error, 1);
+    end_task(task, ExitCause::error, 1);
     expected.erase(task);
   }
   std::set<Task> last_read;
   for (double now = 1; now < 40; now += 0.5)
-    while (auto p = core->next_transaction(now)) {
+    while (auto p = scheduler->next_transaction(now)) {
       answer(*p, now);
       // Whoever leads next reads each attempt that may run, wherever it lies by now, and each end
       // as soon as it is written anywhere.
@@ -175,17 +176,17 @@
     }
   EXPECT_EQ(rejected, 1u) << "the first one tells the limits";
   EXPECT_EQ(last_read, expected) << "the ends are durable";
-  EXPECT_TRUE(core->has_lowered_limits());
+  EXPECT_TRUE(scheduler->uses_lowered_limits());
   EXPECT_GT(std::set<std::string>(written.begin(), written.end()).size(), 3u);
 }
 
 // What was moved is durable in the old page alone until the new ones are written.
 TEST_F(LoweredLimits, ThePageItselfIsWrittenAfterThoseThatTookItsChunks) {
-  core->lower_limits();
-  end_task({kArray, 3}, Cause::error, 1);
+  scheduler->apply_lowered_limits();
+  end_task({kArray, 3}, ExitCause::error, 1);
   std::vector<PendingTransaction> under_way;
   for (double now = 1; now < 5; now += 0.5)
-    while (auto p = core->next_transaction(now)) under_way.push_back(*p);
+    while (auto p = scheduler->next_transaction(now)) under_way.push_back(*p);
   ASSERT_GE(under_way.size(), 3u);
   for (const auto& p : under_way) {
     EXPECT_NE(p.txn.changes.at(0).key, ledger::page_key(0));
@@ -199,38 +200,38 @@
 }
 
 TEST_F(LoweredLimits, BeforeThatNothingIsMoved) {
-  end_task({kArray, 3}, Cause::error, 1);
+  end_task({kArray, 3}, ExitCause::error, 1);
   const auto p = page_write(10);
   ASSERT_TRUE(p);
   EXPECT_EQ(p->txn.changes.at(0).key, ledger::page_key(0));
   EXPECT_GT(ledger::value_size(p->txn.changes.at(0).value), 2048u);
-  core->on_result(p->id, {Outcome::applied, 101, {}}, 10);
-  EXPECT_FALSE(core->has_lowered_limits());
+  scheduler->on_result(p->id, {Outcome::applied, 101, {}}, 10);
+  EXPECT_FALSE(scheduler->uses_lowered_limits());
 }
 
 // It is neither repeated for ever, nor is its outcome guessed.
 TEST_F(LoweredLimits, AnUnansweredTransactionThatIsRejectedLaterEndsTheLeadership) {
-  end_task({kArray, 3}, Cause::error, 1);
+  end_task({kArray, 3}, ExitCause::error, 1);
   const auto first = page_write(10);
   ASSERT_TRUE(first);
-  core->on_result(first->id, {Outcome::unknown, 0, {}}, 10);
+  scheduler->on_result(first->id, {Outcome::unknown, 0, {}}, 10);
   const auto again = page_write(11);
   ASSERT_TRUE(again);
   EXPECT_EQ(again->id, first->id);
   EXPECT_TRUE(again->repeat);
-  core->on_result(again->id, {Outcome::rejected, 0, {}}, 11);
-  EXPECT_TRUE(core->lost());
-  EXPECT_TRUE(core->has_lowered_limits()) << "its siblings are to know it";
+  scheduler->on_result(again->id, {Outcome::rejected, 0, {}}, 11);
+  EXPECT_TRUE(scheduler->has_lost_leadership());
+  EXPECT_TRUE(scheduler->uses_lowered_limits()) << "its siblings are to know it";
 }
 
 TEST_F(LoweredLimits, WhatIsNotTooLargeAndYetRejectedIsTriedAgainLater) {
   settings.next_limits.reset();
-  core = leader();
-  end_task({kArray, 3}, Cause::error, 1);
+  scheduler = leader();
+  end_task({kArray, 3}, ExitCause::error, 1);
   const auto p = page_write(10);
   ASSERT_TRUE(p);
-  core->on_result(p->id, {Outcome::rejected, 0, {}}, 10);
-  EXPECT_FALSE(core->has_lowered_limits());
+  scheduler->on_result(p->id, {Outcome::rejected, 0, {}}, 10);
+  EXPECT_FALSE(scheduler->uses_lowered_limits());
   EXPECT_FALSE(page_write(10.5));
   EXPECT_TRUE(page_write(20));
 }
@@ -238,21 +239,21 @@
 TEST_F(LoweredLimits, NewJobsAreLaidOutForTheLoweredSizesFromTheStart) {
   const uint32_t per = ledger::tasks_per_chunk(settings.lasting_value_bytes());
   EXPECT_LT(per, kPer);
-  MirrorJob job = bare_job(200, {0.05, 0.01, 0.1}, 50);
-  job.row.per = per;
-  for (int i = 1; i <= 3; ++i) core->on_report(bare_report(i, 1, kToken), 1);
-  core->on_job_row(job, "wk-000003", 1);
+  CachedJob job = bare_job(200, {0.05, 0.01, 0.1}, 50);
+  job.row.chunk_size = per;
+  for (int i = 1; i <= 3; ++i) scheduler->on_heartbeat(bare_heartbeat(i, 1, kToken), 1);
+  scheduler->on_job_row(job, "wk-000003", 1);
   for (int round = 0; round < 5; ++round) {
-    core->round(1);
-    while (auto p = core->next_transaction(1)) {
+    scheduler->round(1);
+    while (auto p = scheduler->next_transaction(1)) {
       const auto& change = p->txn.changes.at(0);
       const bool is_page = change.key.rfind(ledger::kTaskPrefix, 0) == 0;
       EXPECT_TRUE(!is_page || change.key == ledger::page_key(0) ||
                   ledger::value_size(change.value) <= 2048);
-      core->on_result(p->id, {Outcome::applied, ++revision, {}}, 1);
+      scheduler->on_result(p->id, {Outcome::applied, ++revision, {}}, 1);
     }
   }
-  EXPECT_EQ(core->find_job("wk-000003")->attempts.size(), 200u);
+  EXPECT_EQ(scheduler->find_job("wk-000003")->attempts.size(), 200u);
 }
 
 // Between what runs and the limit there may be no room for starts in a page of before: they went
@@ -264,28 +265,28 @@
   constexpr uint32_t kRunning = 85;
   page.entries.at(0).chunk.live.resize(kRunning);
   rows[ledger::page_key(0)] = {ledger::encode(page), 4};
-  core = leader();
-  core->lower_limits();
-  for (int i = 1; i <= 70; ++i) core->on_report(bare_report(i, 1, kToken), 1);
+  scheduler = leader();
+  scheduler->apply_lowered_limits();
+  for (int i = 1; i <= 70; ++i) scheduler->on_heartbeat(bare_heartbeat(i, 1, kToken), 1);
   for (double now = 1; now < 6; now += 0.5) {
-    core->round(now);
-    while (auto p = core->next_transaction(now)) answer(*p, now);
+    scheduler->round(now);
+    while (auto p = scheduler->next_transaction(now)) answer(*p, now);
   }
   EXPECT_EQ(rejected, 0u);
-  const Job& job = *core->find_job(kArray);
+  const Job& job = *scheduler->find_job(kArray);
   EXPECT_EQ(job.attempts.size(), kPer);
   EXPECT_EQ(job.proposed, 0u);
 }
 
 TEST_F(LoweredLimits, ACancelledJobWithALongDescriptionKeepsWhatItsLimitsNeed) {
   ledger::JobRow row;
-  row.standing = ledger::Standing::aborted;
-  row.tasks = row.per = 5;
+  row.status = ledger::JobStatus::cancelled;
+  row.tasks = row.chunk_size = 5;
   row.spec = JobSpec{};
   row.spec->team = "team";
   row.spec->zone = "a";
-  row.spec->scatter = true;
-  row.spec->each = {1, 2, 3};
+  row.spec->spread_zones = true;
+  row.spec->per_task = {1, 2, 3};
   row.spec->types.assign(100, std::string(30, 'x'));
   ASSERT_GT(ledger::value_size(ledger::encode(row)), 2048u);
   ledger::shorten_cancelled(row, 2048);
@@ -295,8 +296,8 @@
   ASSERT_TRUE(back && back->spec);
   EXPECT_EQ(back->spec->team, "team");
   EXPECT_EQ(back->spec->zone, "a");
-  EXPECT_TRUE(back->spec->scatter);
-  EXPECT_DOUBLE_EQ(back->spec->each.gpus, 2);
+  EXPECT_TRUE(back->spec->spread_zones);
+  EXPECT_DOUBLE_EQ(back->spec->per_task.gpus, 2);
 }
 
 }  // namespace
--- a/tests/rate_limit_test.cpp
+++ b/tests/rate_limit_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "net/budget.h"
+#include "net/rate_limiter.h"
 
 namespace rookdyke::net {
 namespace {
@@ -40,26 +40,26 @@
   EXPECT_TRUE(limit.is_lowered(1e6));
 }
 
-TEST(Budget, FollowsTheLimitDownAndUp) {
-  Budget budget(100);
-  EXPECT_TRUE(budget.take(1, 0));
-  budget.set_total(10);
+TEST(RateLimiter, FollowsTheLimitDownAndUp) {
+  RateLimiter limiter(100);
+  EXPECT_TRUE(limiter.take(1, 0));
+  limiter.set_total(10);
   // A second's worth of the lower limit is left at most.
   int taken = 0;
-  while (taken < 100 && budget.take(1, 0)) ++taken;
+  while (taken < 100 && limiter.take(1, 0)) ++taken;
   EXPECT_LE(taken, 12);
-  EXPECT_GT(budget.wait_for(5), 0.3);
-  budget.set_total(1000);
-  EXPECT_LT(budget.wait_for(5), 0.1);
+  EXPECT_GT(limiter.wait_for(5), 0.3);
+  limiter.set_total(1000);
+  EXPECT_LT(limiter.wait_for(5), 0.1);
 }
 
 // What waits for its turn waits a little longer.
-TEST(Budget, WhatGoesFirstWaitsForNobody) {
-  Budget budget(1);
-  while (budget.take(1, 0)) {
+TEST(RateLimiter, WhatGoesFirstWaitsForNobody) {
+  RateLimiter limiter(1);
+  while (limiter.take(1, 0)) {
   }
-  budget.take_first(1);
-  EXPECT_GT(budget.wait_for(1), 0.9);
+  limiter.take_first(1);
+  EXPECT_GT(limiter.wait_for(1), 0.9);
 }
 
 }  // namespace
--- a/tests/read_barrier_test.cpp
+++ b/tests/read_barrier_test.cpp
@@ -111,15 +111,15 @@
 }
 
 TEST_F(ReadBarrierTest, ThePauseAfterAFailureEndsWithTheNextCall) {
-  std::atomic<bool> over{false};
+  std::atomic<bool> finished{false};
   std::thread caller([&] {
-    while (!over) {
+    while (!finished) {
       EXPECT_FALSE(barrier.wait(0));
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
   });
   EXPECT_LT(seconds_of([&] { barrier.failed(barrier.begin_read(), kLongS); }), kLongS / 2);
-  over = true;
+  finished = true;
   caller.join();
 }
 
--- a/tests/rented_list_test.cpp
+++ b/tests/rented_list_test.cpp
@@ -1,6 +1,6 @@
 // The rows of the rented list: what is written when, and what a successor reads.
 
-#include "core/rented_list.h"
+#include "ledger/rented_list.h"
 
 #include <gtest/gtest.h>
 
@@ -37,7 +37,7 @@
 
   ledger::Transaction write(double now, size_t rows = 8) {
     ledger::Transaction transaction;
-    transaction.mark = "7.1";
+    transaction.transaction_id = "7.1";
     list.write(
         now, rows, [this](Index i) { return machine(i); }, types, zones, transaction);
     return transaction;
@@ -48,7 +48,7 @@
     list.on_result(transaction, {outcome, revision, {}});
   }
 
-  Names types, zones;
+  NameTable types, zones;
   std::vector<std::optional<RentedMachine>> machines;
   RentedList list{kValueBytes};
 };
--- a/tests/run_scenario.cpp
+++ b/tests/run_scenario.cpp
@@ -9,8 +9,8 @@
 //   team NAME [cpus N] [cpus_max N] [gpus N] [gpus_max N]
 //   set NAME VALUE                a setting: report_s lease_s gang_wait_s gang_peer_s cancel_s
 //                                 list_lag_s value_bytes txn_ops, or a tuning value
-//                                 (core/settings.h); next_value_bytes next_txn_ops: the limits that
-//                                 the state service will have
+//                                 (model/settings.h); next_value_bytes next_txn_ops: the limits
+//                                 that the state service will have
 //   capacity ZONE spot|ordinary N machines to be had (default 100)
 //   messages [lose P] [repeat P] [slow P]    chances for every message, for the whole run
 //   late_copies P S               chance that a copy of a report comes up to S seconds later
@@ -134,7 +134,7 @@
     if (seed) seed_ = *seed;
     if (types_.empty()) types_.push_back(default_type());
     if (settings_.teams.empty()) settings_.teams.push_back({"team", 0, 0, 0, 0});
-    for (const TypeInfo& t : types_)
+    for (const MachineType& t : types_)
       for (const std::string& z : t.zones)
         if (std::find(settings_.zones.begin(), settings_.zones.end(), z) == settings_.zones.end())
           settings_.zones.push_back(z);
@@ -201,8 +201,8 @@
     return *settings_.next_limits;
   }
 
-  static TypeInfo default_type() {
-    TypeInfo t;
+  static MachineType default_type() {
+    MachineType t;
     t.name = "box";
     t.size = {16, 4, 64};
     t.cache_gb = 100;
@@ -220,7 +220,7 @@
     } else if (w[0] == "nodes") {
       nodes_ = static_cast<size_t>(number(w, 1, line));
     } else if (w[0] == "type") {
-      TypeInfo t = default_type();
+      MachineType t = default_type();
       t.name = word(w, 1, line);
       for (size_t i = 2; i + 1 < w.size(); i += 2) {
         if (w[i] == "cpus")
@@ -228,7 +228,7 @@
         else if (w[i] == "gpus")
           t.size.gpus = number(w, i + 1, line);
         else if (w[i] == "mem")
-          t.size.mem = number(w, i + 1, line);
+          t.size.memory_gb = number(w, i + 1, line);
         else if (w[i] == "boot")
           t.boot_s = number(w, i + 1, line);
         else if (w[i] == "zones") {
@@ -240,7 +240,7 @@
       }
       types_.push_back(t);
     } else if (w[0] == "team") {
-      TeamInfo t{word(w, 1, line), 0, 0, 0, 0};
+      TeamQuota t{word(w, 1, line), 0, 0, 0, 0};
       for (size_t i = 2; i + 1 < w.size(); i += 2) {
         const double v = number(w, i + 1, line);
         if (w[i] == "cpus")
@@ -291,16 +291,16 @@
 
   void set_value(int line, const Words& w) {
     const std::map<std::string, double*> known = {
-        {"report_s", &settings_.report_s},
+        {"report_s", &settings_.heartbeat_interval_s},
         {"lease_s", &settings_.lease_s},
         {"gang_wait_s", &settings_.gang_wait_s},
         {"gang_peer_s", &settings_.gang_peer_s},
         {"cancel_s", &settings_.cancel_s},
         {"list_lag_s", &settings_.list_lag_s},
-        {"lull_s", &settings_.tuning.lull_s},
+        {"lull_s", &settings_.tuning.scale_in_delay_s},
         {"percentile", &settings_.tuning.percentile},
         {"drain_deadline_s", &settings_.tuning.drain_deadline_s},
-        {"silence_s", &settings_.tuning.silence_s},
+        {"silence_s", &settings_.tuning.heartbeat_timeout_s},
         {"start_spare", &settings_.tuning.start_spare},
         {"trend_s", &settings_.tuning.trend_s}};
     const double v = number(w, 2, line);
@@ -362,14 +362,16 @@
       s.team = settings_.teams[0].name;
       const std::string& shape = word(w, 4, line);
       if (shape != "array" && shape != "gang" && shape != "service") wrong(line, "no such shape");
-      s.shape = shape == "gang" ? Shape::gang : shape == "service" ? Shape::service : Shape::array;
+      s.shape = shape == "gang"      ? JobShape::gang
+                : shape == "service" ? JobShape::service
+                                     : JobShape::array;
       s.tasks = static_cast<uint32_t>(number(w, 5, line));
-      s.each = {option("cpus", 1), option("gpus", 1), option("mem", 1)};
+      s.per_task = {option("cpus", 1), option("gpus", 1), option("mem", 1)};
       s.spot = flag("spot");
-      s.one_zone = flag("one_zone");
-      s.scatter = flag("scatter");
+      s.single_zone = flag("one_zone");
+      s.spread_zones = flag("scatter");
       s.image = "img";
-      const double run_s = option("run", s.shape == Shape::service ? 0 : 10);
+      const double run_s = option("run", s.shape == JobShape::service ? 0 : 10);
       for (size_t i = 6; i < w.size(); ++i) {
         if (w[i] == "image") {
           s.image = word(w, i + 1, line);
@@ -382,16 +384,16 @@
           s.team = word(w, i + 1, line);
         } else if (w[i] == "rank") {
           const std::string& r = word(w, i + 1, line);
-          s.rank = r == "idle"       ? Rank::idle
-                   : r == "urgent"   ? Rank::urgent
-                   : r == "critical" ? Rank::critical
-                                     : Rank::standard;
+          s.priority = r == "idle"       ? Priority::idle
+                       : r == "urgent"   ? Priority::urgent
+                       : r == "critical" ? Priority::critical
+                                         : Priority::standard;
         } else if (w[i] == "save") {
-          s.checkpoint_s = number(w, i + 1, line);
-          s.save_s = number(w, i + 2, line);
+          s.checkpoint_interval_s = number(w, i + 1, line);
+          s.checkpoint_duration_s = number(w, i + 2, line);
         }
       }
-      s.estimate_s = s.shape == Shape::service ? 0 : run_s;
+      s.expected_runtime_s = s.shape == JobShape::service ? 0 : run_s;
       const bool faulty = flag("faulty");
       double cancelled = 0, cancelled_s = 0;
       for (size_t i = 6; i < w.size(); ++i)
@@ -408,7 +410,8 @@
       const std::string id = word(w, 3, line);
       world->clock.at(t, [world, id] { world->abort(id); });
     } else if (what == "lower_limits") {
-      world->clock.at(t, [world] { world->store.lower_limits(*world->settings.next_limits); });
+      world->clock.at(t,
+                      [world] { world->store.apply_lowered_limits(*world->settings.next_limits); });
     } else if (what == "old_rows") {
       const double s = option("for", 10);
       world->clock.at(t, [world, s] { world->old_rows_until = world->clock.now + s; });
@@ -421,7 +424,7 @@
       const double back = option("for", 3);
       world->clock.at(t, [world, who, back] {
         for (size_t i = 0; i < world->nodes.size(); ++i) {
-          SimNode* n = world->nodes[i].get();
+          SimController* n = world->nodes[i].get();
           if (!n->alive) continue;
           if (who != "all" && !means(*world, who, i)) continue;
           n->crash();
@@ -436,7 +439,7 @@
       const double s = option("for", 10);
       world->clock.at(t, [world, who, s] {
         for (size_t i = 0; i < world->nodes.size(); ++i) {
-          SimNode* n = world->nodes[i].get();
+          SimController* n = world->nodes[i].get();
           if (n->alive && means(*world, who, i)) {
             n->freeze(s);
             break;
@@ -526,7 +529,7 @@
         if (w[i] == "in") zone = word(w, i + 1, line);
       world->clock.at(t, [world, left, s, hold, zone]() mutable {
         for (auto& [name, m] : world->workers) {
-          if (m->gone || !m->up || (!zone.empty() && m->zone != zone)) continue;
+          if (m->terminated || !m->up || (!zone.empty() && m->zone != zone)) continue;
           if (left-- == 0) break;
           for (size_t i = 0; i < world->nodes.size(); ++i)
             world->cut("n" + std::to_string(i), name, s, hold);
@@ -541,7 +544,7 @@
       const auto until = what == "mute" ? &Worker::mute_until : &Worker::deaf_until;
       world->clock.at(t, [world, left, s, zone, until]() mutable {
         for (auto& [name, m] : world->workers) {
-          if (m->gone || !m->up || (!zone.empty() && m->zone != zone)) continue;
+          if (m->terminated || !m->up || (!zone.empty() && m->zone != zone)) continue;
           if (left-- == 0) break;
           m.get()->*until = world->clock.now + s;
         }
@@ -554,7 +557,7 @@
         for (auto& [name, m] : world->workers) {
           if (left == 0) break;
           Worker* p = m.get();
-          if (p->gone || !p->up || p->hung) continue;
+          if (p->terminated || !p->up || p->hung) continue;
           if (which == "busy" && p->tasks.empty()) continue;
           --left;
           if (what == "hang") {
@@ -604,9 +607,9 @@
       return;
     }
     if (what == "work_a_round") {
-      const SimNode* n = world_->leader();
+      const SimController* n = world_->leader();
       if (!n) return miss("nobody leads");
-      const Core::Work& did = n->core()->work();
+      const Scheduler::Work& did = n->scheduler()->work();
       const double per = static_cast<double>(did.machines_looked_at + did.jobs_looked_at) /
                          static_cast<double>(std::max<uint64_t>(1, did.rounds));
       if (per > number(w, 3, line)) miss(std::to_string(per));
@@ -629,7 +632,7 @@
       if (j.done_at < 0 || j.done_at > by(w, line))
         miss(j.told + ", done at " + std::to_string(j.done_at));
     } else if (what == "aborted") {
-      if (j.aborted_at < 0) miss(j.told);
+      if (j.cancelled_at < 0) miss(j.told);
     } else if (what == "started") {
       if (j.first_start < 0 || j.first_start > by(w, line)) miss(std::to_string(j.first_start));
     } else if (what == "served") {
@@ -648,7 +651,7 @@
   const Script& script_;
   uint64_t seed_ = 1;
   size_t nodes_ = 3;
-  std::vector<TypeInfo> types_;
+  std::vector<MachineType> types_;
   Settings settings_;
   std::map<std::pair<std::string, bool>, int> capacity_;
   double late_copies_ = 0, late_copies_s_ = 0, late_writes_ = 0;
--- a/tests/core_fixtures.h
+++ b/tests/scheduler_fixtures.h
@@ -1,9 +1,10 @@
 #pragma once
-// What tests of the core by itself share: a small deployment, reports written by hand, a ledger.
+// What tests of the scheduler by itself share: a small deployment, reports written by hand, a
+// ledger.
 
 #include <string>
 
-#include "core/core.h"
+#include "scheduler/scheduler.h"
 
 namespace rookdyke::test {
 
@@ -12,14 +13,14 @@
   s.label = "n0";
   s.zones = {"a"};
   s.teams = {{"team", 0, 0, 0, 0}};
-  s.report_s = 5;
+  s.heartbeat_interval_s = 5;
   s.lease_s = 29;
   s.list_lag_s = 3;
   return s;
 }
 
-inline TypeInfo bare_type() {
-  TypeInfo t;
+inline MachineType bare_type() {
+  MachineType t;
   t.name = "box";
   t.size = {16, 4, 64};
   t.cache_gb = 100;
@@ -31,45 +32,45 @@
 }
 
 // A job of the team as its row tells, in a single chunk.
-inline MirrorJob bare_job(uint32_t tasks, const Amounts& each, uint64_t version) {
-  MirrorJob job;
+inline CachedJob bare_job(uint32_t tasks, const Resources& per_task, uint64_t version) {
+  CachedJob job;
   job.version = version;
-  job.row.tasks = job.row.per = tasks;
+  job.row.tasks = job.row.chunk_size = tasks;
   job.row.spec = JobSpec{};
   job.row.spec->team = "team";
-  job.row.spec->each = each;
+  job.row.spec->per_task = per_task;
   return job;
 }
 
-inline Report bare_report(int machine, uint64_t seq, uint64_t token) {
-  Report r;
+inline Heartbeat bare_heartbeat(int machine, uint64_t seq, uint64_t fencing_token) {
+  Heartbeat r;
   r.machine = "m-" + std::to_string(machine);
   r.addr = "10.0.0.1:1";
   r.type = "box";
   r.zone = "a";
-  r.session = 1;
+  r.epoch = 1;
   r.seq = seq;
-  r.token = token;
+  r.fencing_token = fencing_token;
   return r;
 }
 
-inline MachineState state_of(const Core& core, int machine) {
-  for (const auto& m : core.machines())
+inline MachineState state_of(const Scheduler& scheduler, int machine) {
+  for (const auto& m : scheduler.machines())
     if (m->name == "m-" + std::to_string(machine)) return m->state;
-  return MachineState::gone;
+  return MachineState::terminated;
 }
 
 // A ledger with a job of seven tasks, cancelled or not, the first of them on m-1.
-inline Mirror with_a_task_on_m1(ledger::Standing standing, double at_s) {
-  Mirror m;
+inline LedgerCache ledger_with_a_task_on_m1(ledger::JobStatus status, double timestamp_s) {
+  LedgerCache m;
   ledger::JobRow row;
-  row.standing = standing;
+  row.status = status;
   row.tasks = 7;
-  row.per = 3;
-  row.at_s = at_s;
+  row.chunk_size = 3;
+  row.timestamp_s = timestamp_s;
   row.spec = JobSpec{};
   row.spec->team = "team";
-  row.spec->each = {1, 1, 1};
+  row.spec->per_task = {1, 1, 1};
   m.put("rd/j/wk-000001", ledger::encode(row), 3);
   m.put("rd/t/0", nlohmann::json::parse(R"({"w":"x","e":[["wk-000001",0,1,[],[[0,1,"m-1",1]]]]})"),
         4);
--- a/tests/core_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -1,20 +1,20 @@
-// The forecast, the ledger's rows and the mirror, by themselves.
+// The forecast, the ledger's rows and the ledger cache, by themselves.
 
-#include "core/core.h"
+#include "scheduler/scheduler.h"
 
 #include <gtest/gtest.h>
 
 #include <array>
 #include <cmath>
 
-#include "core/admission.h"
-#include "core/cancellations.h"
-#include "core/forecast.h"
-#include "core/lease_clock.h"
-#include "core/ledger.h"
-#include "core/mirror.h"
-#include "core/states.h"
-#include "core_fixtures.h"
+#include "admission/admission.h"
+#include "fleet/forecast.h"
+#include "leadership/cancellations.h"
+#include "leadership/lease_clock.h"
+#include "ledger/ledger_cache.h"
+#include "ledger/rows.h"
+#include "model/states.h"
+#include "scheduler_fixtures.h"
 
 namespace rookdyke {
 namespace {
@@ -75,13 +75,13 @@
 
 TEST(Ledger, SizesAreNotUnderestimated) {
   ledger::Page page;
-  page.mark = "18446744073709551615.18446744073709551615";
+  page.transaction_id = "18446744073709551615.18446744073709551615";
   size_t size = 0;
   for (const std::string id : {"wk-000001", "wk-123456789012345678"}) {
     ledger::PageEntry e;
     e.job = id;
     e.n = 1234;
-    e.chunk.top = 123456789;
+    e.chunk.highest_attempt = 123456789;
     for (uint32_t t = 0; t < 200; ++t) {
       if (t % 2 == 0) {
         e.chunk.done.add(99999 - t);
@@ -115,22 +115,22 @@
 TEST(Ledger, RowsSurviveTheirEncoding) {
   ledger::JobRow row;
   row.tasks = 7;
-  row.per = 3;
-  row.at_s = 12.5;
-  row.mark = "x.1";
+  row.chunk_size = 3;
+  row.timestamp_s = 12.5;
+  row.transaction_id = "x.1";
   row.spec = JobSpec{};
   row.spec->team = "t";
-  row.spec->each = {1.5, 2, 3};
-  row.spec->shape = Shape::gang;
-  row.spec->rank = Rank::urgent;
+  row.spec->per_task = {1.5, 2, 3};
+  row.spec->shape = JobShape::gang;
+  row.spec->priority = Priority::urgent;
   row.spec->types = {"g8"};
   const auto back = ledger::decode_job("wk-000001", ledger::encode(row));
   ASSERT_TRUE(back && back->spec);
   EXPECT_EQ(back->spec->id, "wk-000001");
   EXPECT_EQ(back->spec->tasks, 7u);
-  EXPECT_EQ(back->spec->rank, Rank::urgent);
+  EXPECT_EQ(back->spec->priority, Priority::urgent);
   EXPECT_EQ(back->spec->types, row.spec->types);
-  EXPECT_DOUBLE_EQ(back->spec->each.cpus, 1.5);
+  EXPECT_DOUBLE_EQ(back->spec->per_task.cpus, 1.5);
   EXPECT_FALSE(ledger::decode_job("wk-000001", {{"standing", "open"}}));
 }
 
@@ -139,7 +139,7 @@
 class Admission : public testing::Test {
  protected:
   Admission() {
-    TypeInfo small, large;
+    MachineType small, large;
     small.name = "small";
     small.size = {4, 0, 8};
     small.zones = {"a", "b"};
@@ -150,12 +150,12 @@
     teams = {{"t", 0, 8, 0, 4}, {"free", 0, 0, 0, 0}};
     job.team = "t";
     job.tasks = 4;
-    job.each = {2, 0, 4};
+    job.per_task = {2, 0, 4};
   }
   bool runs() const { return !never_runs(job, types, teams, {"a", "b"}); }
 
-  std::vector<TypeInfo> types;
-  std::vector<TeamInfo> teams;
+  std::vector<MachineType> types;
+  std::vector<TeamQuota> teams;
   JobSpec job;
 };
 
@@ -164,7 +164,7 @@
   job.team = "nobody";
   EXPECT_FALSE(runs());
   job.team = "t";
-  job.each.gpus = 1;
+  job.per_task.gpus = 1;
   EXPECT_TRUE(runs());  // on the large ones
   job.types = {"small"};
   EXPECT_FALSE(runs());
@@ -173,20 +173,20 @@
   job.types = {"round"};
   EXPECT_FALSE(runs());
   job.types.clear();
-  job.each = {17, 0, 1};
+  job.per_task = {17, 0, 1};
   EXPECT_FALSE(runs());
 }
 
 TEST_F(Admission, AnArrayNeedsTheLimitForOneTaskAGangForAll) {
   job.tasks = 100'000;
   EXPECT_TRUE(runs());
-  job.each.cpus = 8;
+  job.per_task.cpus = 8;
   EXPECT_TRUE(runs());
-  job.each.cpus = 8.001;
+  job.per_task.cpus = 8.001;
   EXPECT_FALSE(runs());
-  job.shape = Shape::gang;
+  job.shape = JobShape::gang;
   job.tasks = 4;
-  job.each.cpus = 2;
+  job.per_task.cpus = 2;
   EXPECT_TRUE(runs());
   job.tasks = 5;
   EXPECT_FALSE(runs());
@@ -202,7 +202,7 @@
   job.zone = "c";
   EXPECT_FALSE(runs());
   job.zone = "a";
-  job.each.gpus = 1;
+  job.per_task.gpus = 1;
   EXPECT_FALSE(runs());  // the large ones are in b only
   job.zone = "b";
   EXPECT_TRUE(runs());
@@ -213,23 +213,23 @@
 }
 
 TEST_F(Admission, AScatteredGangNeedsTwoZones) {
-  job.shape = Shape::gang;
-  job.scatter = true;
+  job.shape = JobShape::gang;
+  job.spread_zones = true;
   EXPECT_TRUE(runs());
-  job.one_zone = true;
+  job.single_zone = true;
   EXPECT_FALSE(runs());
   job.tasks = 1;
   EXPECT_TRUE(runs());
   job.tasks = 2;
-  job.one_zone = false;
+  job.single_zone = false;
   job.zone = "a";
   EXPECT_FALSE(runs());
   job.zone.clear();
-  job.each.gpus = 1;
+  job.per_task.gpus = 1;
   EXPECT_FALSE(runs());  // the large ones are in b only
   // An array's tasks may run one after the other, each by itself.
-  job.shape = Shape::array;
-  job.one_zone = true;
+  job.shape = JobShape::array;
+  job.single_zone = true;
   job.zone = "b";
   EXPECT_TRUE(runs());
 }
@@ -239,7 +239,7 @@
 nlohmann::json open_row() {
   ledger::JobRow row;
   row.tasks = 7;
-  row.per = 3;
+  row.chunk_size = 3;
   row.spec = JobSpec{};
   row.spec->team = "t";
   return ledger::encode(row);
@@ -306,7 +306,7 @@
 }
 
 TEST(Ledger, TypesWithAWrongValueAreNotRead) {
-  TypeInfo type;
+  MachineType type;
   type.name = "box";
   type.size = {16, 4, 64};
   type.boot_s = 50;
@@ -326,10 +326,10 @@
   EXPECT_TRUE(ledger::decode_types(ledger::encode_types({type, type})).empty());
 }
 
-TEST(Mirror, RowsOfAnyShapeAreOutlived) {
+TEST(LedgerCache, RowsOfAnyShapeAreOutlived) {
   const std::vector<nlohmann::json> shapes = {
       nullptr, 3, -1, 1e300, NAN, "x", true, {1, "a", {}}, {{"label", 3}}, {{"e", 3}}};
-  Mirror m;
+  LedgerCache m;
   uint64_t version = 0;
   for (const nlohmann::json& v : shapes)
     for (const char* key : {"rd/leader", "rd/types", "rd/j/", "rd/j/x", "rd/t/", "rd/t/x", "rd/t/0",
@@ -339,17 +339,17 @@
   EXPECT_EQ(m.leader(), "");
   EXPECT_TRUE(m.types().empty());
   EXPECT_FALSE(m.answer("x"));
-  TypeInfo type;
+  MachineType type;
   type.name = "box";
   type.size = {16, 4, 64};
-  Core core(Settings{}, {type}, version + 1, 0);
-  EXPECT_NO_THROW(core.load(m, 0));
-  EXPECT_NO_THROW(core.round(1));
+  Scheduler scheduler(Settings{}, {type}, version + 1, 0);
+  EXPECT_NO_THROW(scheduler.load(m, 0));
+  EXPECT_NO_THROW(scheduler.round(1));
 }
 
 // A page that names what its job does not have: that much of it is passed over, the rest counts.
-TEST(Core, APageThatIsOutOfRangeOfItsJobIsNotBelieved) {
-  Mirror m;
+TEST(Scheduler, APageThatIsOutOfRangeOfItsJobIsNotBelieved) {
+  LedgerCache m;
   m.put("rd/j/wk-000001", open_row(), 3);  // 7 tasks, 3 a chunk
   m.put("rd/t/0", nlohmann::json::parse(R"({"w":"x","e":[
           ["wk-000001",0,4,[0,0,50,99999],[[1,4,"m-1",1],[1,4,"m-2",1],[5,4,"m-3",1]]],
@@ -359,27 +359,27 @@
   EXPECT_LE(m.answer("wk-000001")->done, 7u);
   Settings settings;
   settings.teams = {{"t", 0, 0, 0, 0}};
-  TypeInfo type;
+  MachineType type;
   type.name = "box";
   type.size = {16, 4, 64};
   type.zones = {"a"};
-  Core core(settings, {type}, 7, 0);
-  core.load(m, 0);
-  const Job* job = core.find_job("wk-000001");
+  Scheduler scheduler(settings, {type}, 7, 0);
+  scheduler.load(m, 0);
+  const Job* job = scheduler.find_job("wk-000001");
   ASSERT_TRUE(job);
   EXPECT_EQ(job->done_count, 1u);
   ASSERT_EQ(job->attempts.size(), 2u);
   EXPECT_TRUE(job->attempts.count(1) && job->attempts.count(6));
   EXPECT_EQ(job->waiting, (std::set<uint32_t>{2, 3, 4, 5}));
   size_t held = 0;
-  for (const auto& machine : core.machines()) held += machine->tasks.size();
+  for (const auto& machine : scheduler.machines()) held += machine->tasks.size();
   EXPECT_EQ(held, 2u);
 }
 
 // A row that cannot be read keeps its revision: the leader that writes the page next is not told
 // that the ledger is not as it left it, which would end one leader after the other.
 // A chunk moves by being written elsewhere; its old page may say otherwise for a while.
-TEST(Mirror, OfTwoPagesThatHoldTheSameTasksTheLaterOneCounts) {
+TEST(LedgerCache, OfTwoPagesThatHoldTheSameTasksTheLaterOneCounts) {
   const auto page = [](const char* machine) {
     nlohmann::json live = nlohmann::json::array({0, 1, machine, 1});
     nlohmann::json entry = nlohmann::json::array(
@@ -387,7 +387,7 @@
     return nlohmann::json{{"w", "x"}, {"e", nlohmann::json::array({entry})}};
   };
   for (const bool backwards : {false, true}) {
-    Mirror m;
+    LedgerCache m;
     m.put("rd/j/wk-000001", open_row(), 3);
     if (backwards) m.put("rd/t/1", page("m-new"), 10);
     m.put("rd/t/0", page("m-old"), 4);
@@ -402,36 +402,36 @@
 }
 
 // A leader of that ledger, with one machine, after its first round.
-Core leader_of(const Mirror& ledger) {
+Scheduler leader_of(const LedgerCache& ledger) {
   Settings settings;
   settings.zones = {"a"};
   settings.teams = {{"t", 0, 0, 0, 0}};
-  TypeInfo type;
+  MachineType type;
   type.name = "box";
   type.size = {16, 4, 64};
   type.zones = {"a"};
-  Core core(settings, {type}, 7, 0);
-  core.load(ledger, 0);
-  Report r;
+  Scheduler scheduler(settings, {type}, 7, 0);
+  scheduler.load(ledger, 0);
+  Heartbeat r;
   r.machine = "m-1";
   r.type = "box";
   r.zone = "a";
-  r.session = r.seq = 1;
-  r.token = 7;
-  core.on_report(r, 1);
-  core.round(1);
-  return core;
+  r.epoch = r.seq = 1;
+  r.fencing_token = 7;
+  scheduler.on_heartbeat(r, 1);
+  scheduler.round(1);
+  return scheduler;
 }
 
 // A page that cannot be read may hold attempts of any job that was there when it was written.
-TEST(Core, APageThatCannotBeReadDoesNotEndALeaderAndIsNeverWritten) {
-  Mirror m;
+TEST(Scheduler, APageThatCannotBeReadDoesNotEndALeaderAndIsNeverWritten) {
+  LedgerCache m;
   m.put("rd/j/wk-000001", open_row(), 3);
   m.put("rd/t/0", "noise", 4);
   m.put("rd/j/wk-000002", open_row(), 5);
-  Core core = leader_of(m);
+  Scheduler scheduler = leader_of(m);
   bool written = false;
-  while (const auto p = core.next_transaction(1)) {
+  while (const auto p = scheduler.next_transaction(1)) {
     const std::string key = p->txn.changes.at(0).key;
     EXPECT_NE(key, "rd/t/0");
     if (key.rfind(ledger::kTaskPrefix, 0) != 0) continue;
@@ -440,21 +440,21 @@
       EXPECT_EQ(entry.at(0), "wk-000002") << "the other job's tasks may run already";
   }
   EXPECT_TRUE(written);
-  EXPECT_NE(core.find_job("wk-000001"), nullptr) << "it stays known";
+  EXPECT_NE(scheduler.find_job("wk-000001"), nullptr) << "it stays known";
 }
 
 // As a version that is newer than this one may leave it.
-TEST(Core, WhatAPageSaysOfAJobThatCannotBeReadStaysInIt) {
-  Mirror m;
+TEST(Scheduler, WhatAPageSaysOfAJobThatCannotBeReadStaysInIt) {
+  LedgerCache m;
   m.put("rd/j/wk-000001", "noise", 3);
   m.put("rd/j/wk-000002", open_row(), 4);
   const auto of_unreadable = nlohmann::json::parse(R"(["wk-000001",0,2,[1,1],[[0,2,"m-9",1]]])");
   m.put("rd/t/0", {{"w", "x"}, {"e", nlohmann::json::array({of_unreadable})}}, 5);
   EXPECT_TRUE(m.unreadable("wk-000001"));
   EXPECT_FALSE(m.unreadable("wk-000002"));
-  Core core = leader_of(m);
+  Scheduler scheduler = leader_of(m);
   bool written = false;
-  while (const auto p = core.next_transaction(1)) {
+  while (const auto p = scheduler.next_transaction(1)) {
     if (p->txn.changes.at(0).key != "rd/t/0") continue;
     written = true;
     EXPECT_EQ(p->txn.changes.at(0).value.at("e").at(0), of_unreadable);
@@ -462,24 +462,24 @@
   EXPECT_TRUE(written);
 }
 
-TEST(Mirror, IgnoresOlderRowsAndForgetsWhatAReloadDoesNotShow) {
-  Mirror m;
+TEST(LedgerCache, IgnoresOlderRowsAndForgetsWhatAReloadDoesNotShow) {
+  LedgerCache m;
   ledger::JobRow row;
   row.tasks = 2;
-  row.per = 2;
+  row.chunk_size = 2;
   row.spec = JobSpec{};
-  ledger::JobRow over = row;
-  over.standing = ledger::Standing::aborted;
-  m.put("rd/j/wk-000001", ledger::encode(over), 9);
+  ledger::JobRow finished = row;
+  finished.status = ledger::JobStatus::cancelled;
+  m.put("rd/j/wk-000001", ledger::encode(finished), 9);
   m.put("rd/j/wk-000001", ledger::encode(row), 5);
   ASSERT_TRUE(m.answer("wk-000001"));
-  EXPECT_EQ(m.answer("wk-000001")->standing, ledger::Standing::aborted);
+  EXPECT_EQ(m.answer("wk-000001")->status, ledger::JobStatus::cancelled);
   m.put("rd/leader", {{"label", "n1"}}, 10);
   EXPECT_EQ(m.leader(), "n1");
   m.erase("rd/leader", 8);  // an older deletion
   EXPECT_EQ(m.leader(), "n1");
   m.begin_reload();
-  m.put("rd/j/wk-000001", ledger::encode(over), 9);
+  m.put("rd/j/wk-000001", ledger::encode(finished), 9);
   m.end_reload();
   EXPECT_EQ(m.leader(), "");
   EXPECT_TRUE(m.answer("wk-000001"));
@@ -487,8 +487,8 @@
 }
 
 // A leader with token 7 at time 0.
-Core one_zone_core() {
-  TypeInfo type;
+Scheduler one_zone_core() {
+  MachineType type;
   type.name = "box";
   type.size = {16, 4, 64};
   type.cache_gb = 100;
@@ -496,11 +496,11 @@
   Settings settings;
   settings.zones = {"a"};
   settings.teams = {{"t", 0, 0, 0, 0}};
-  return Core(settings, {type}, 7, 0);
+  return Scheduler(settings, {type}, 7, 0);
 }
 
-Report report_of_m1() {
-  Report r;
+Heartbeat report_of_m1() {
+  Heartbeat r;
   r.machine = "m-1";
   r.addr = "h:1";
   r.type = "box";
@@ -508,205 +508,210 @@
   return r;
 }
 
-MirrorJob one_task(uint64_t version) {
-  MirrorJob job;
+CachedJob one_task(uint64_t version) {
+  CachedJob job;
   job.version = version;
-  job.row.tasks = job.row.per = 1;
+  job.row.tasks = job.row.chunk_size = 1;
   job.row.spec = JobSpec{};
   job.row.spec->team = "t";
   return job;
 }
 
-TEST(Core, ImageHintsReachASuccessor) {
+TEST(Scheduler, ImageHintsReachASuccessor) {
   const std::vector<ListedMachine> list = {
       {"m-1", "h:1", "box", "a", false, ListedMachine::State::running, 10}};
-  Report report = report_of_m1();
-  report.session = report.seq = 1;
-  report.token = 7;
+  Heartbeat report = report_of_m1();
+  report.epoch = report.seq = 1;
+  report.fencing_token = 7;
   const auto hints = nlohmann::json::parse(
       R"({"images":[["x",4.0],["y",6.0]],"machines":{"m-1":[1,0],"m-unknown":[0]}})");
-  Core core = one_zone_core();
-  core.on_machine_list(list, 0, 0);
-  core.take_image_hints(hints, 5);
-  core.on_report(report, 6);
-  const nlohmann::json told = core.image_hints();
+  Scheduler scheduler = one_zone_core();
+  scheduler.on_machine_list(list, 0, 0);
+  scheduler.load_image_locations(hints, 5);
+  scheduler.on_heartbeat(report, 6);
+  const nlohmann::json told = scheduler.image_locations();
   ASSERT_EQ(told.at("machines").size(), 1u);
   // The least recently used first: y, then x.
   std::vector<std::string> order;
   for (const auto& k : told.at("machines").at("m-1"))
     order.push_back(told.at("images").at(k.get<size_t>()).at(0).get<std::string>());
   EXPECT_EQ(order, (std::vector<std::string>{"y", "x"}));
-  core.take_image_hints({{"images", 3}}, 7);  // nonsense changes nothing
-  EXPECT_EQ(core.image_hints(), told);
+  scheduler.load_image_locations({{"images", 3}}, 7);  // nonsense changes nothing
+  EXPECT_EQ(scheduler.image_locations(), told);
 }
 
 // A copy of a job's row that comes after the job is over must not bring it back.
-TEST(Core, AnOverJobStaysOver) {
-  Core core = one_zone_core();
-  const MirrorJob row = one_task(3);
-  core.on_job_row(row, "wk-000001", 1);
-  ASSERT_TRUE(core.find_job("wk-000001"));
-  MirrorJob over = row;
-  over.version = 5;
-  over.row.standing = ledger::Standing::aborted;
-  core.on_job_row(over, "wk-000001", 2);
-  EXPECT_FALSE(core.find_job("wk-000001"));
-  core.on_job_row(row, "wk-000001", 3);
-  EXPECT_FALSE(core.find_job("wk-000001"));
+TEST(Scheduler, AnOverJobStaysOver) {
+  Scheduler scheduler = one_zone_core();
+  const CachedJob row = one_task(3);
+  scheduler.on_job_row(row, "wk-000001", 1);
+  ASSERT_TRUE(scheduler.find_job("wk-000001"));
+  CachedJob finished = row;
+  finished.version = 5;
+  finished.row.status = ledger::JobStatus::cancelled;
+  scheduler.on_job_row(finished, "wk-000001", 2);
+  EXPECT_FALSE(scheduler.find_job("wk-000001"));
+  scheduler.on_job_row(row, "wk-000001", 3);
+  EXPECT_FALSE(scheduler.find_job("wk-000001"));
 }
 
 // Under a load that never leaves the committer idle the rented list is written all the same: a
 // successor that reads an old one counts machines that are gone, and rents none in their place.
-TEST(Core, TheRentedListIsWrittenUnderLoad) {
-  Core core = one_zone_core();
-  Report r = report_of_m1();
-  r.session = 1;
-  r.token = 7;
+TEST(Scheduler, TheRentedListIsWrittenUnderLoad) {
+  Scheduler scheduler = one_zone_core();
+  Heartbeat r = report_of_m1();
+  r.epoch = 1;
+  r.fencing_token = 7;
   uint64_t revision = 7;
   size_t pages = 0, lists = 0;
   for (int step = 0; step < 150; ++step) {
     const double now = 0.1 * step;
-    core.on_job_row(one_task(++revision), "wk-" + std::to_string(100000 + step), now);
+    scheduler.on_job_row(one_task(++revision), "wk-" + std::to_string(100000 + step), now);
     if (step % 20 == 0) {
       ++r.seq;
-      for (const Order& o : core.on_report(r, now).orders)
-        if (o.verb == Verb::run)
-          r.tasks.push_back({o.job, o.task, o.attempt, Seen::running, Cause::none, false});
+      for (const WorkerCommand& o : scheduler.on_heartbeat(r, now).commands)
+        if (o.verb == CommandKind::start)
+          r.tasks.push_back({o.job, o.task, o.attempt, TaskPhase::running, ExitCause::none, false});
     }
-    core.round(now);
+    scheduler.round(now);
     // One transaction a step is less than there is to write.
-    const auto p = core.next_transaction(now);
+    const auto p = scheduler.next_transaction(now);
     if (!p) continue;
     const std::string& key = p->txn.changes.at(0).key;
     pages += key.rfind(ledger::kTaskPrefix, 0) == 0;
     lists += key.rfind(ledger::kFleetPrefix, 0) == 0;
-    core.on_result(p->id, {ledger::Outcome::applied, ++revision, {}}, now);
+    scheduler.on_result(p->id, {ledger::Outcome::applied, ++revision, {}}, now);
   }
-  EXPECT_FALSE(core.lost());
+  EXPECT_FALSE(scheduler.has_lost_leadership());
   EXPECT_GE(pages, 100u);
   EXPECT_GE(lists, 1u);
   EXPECT_LE(lists, 4u);  // no more often than every 4 s
 }
 
 // A report that its worker sent before it knew our token shows no life and is given no orders.
-TEST(Core, AReportWithAnOlderTokenProvesNothing) {
-  Core core = one_zone_core();
-  Report r = report_of_m1();
-  r.session = 1;
+TEST(Scheduler, AReportWithAnOlderTokenProvesNothing) {
+  Scheduler scheduler = one_zone_core();
+  Heartbeat r = report_of_m1();
+  r.epoch = 1;
   r.seq = 4;
-  r.token = 6;
+  r.fencing_token = 6;
   r.notice_s = 3;
-  r.tasks = {{"wk-000009", 0, 1, Seen::running, Cause::none, false}};
-  EXPECT_TRUE(core.on_report(r, 1).orders.empty());
-  EXPECT_EQ(core.machines().at(0)->state, MachineState::booting);
-  EXPECT_FALSE(core.machines().at(0)->registered);
-  EXPECT_LT(core.machines().at(0)->reclaim_at, 0);
-  r.token = 7;
+  r.tasks = {{"wk-000009", 0, 1, TaskPhase::running, ExitCause::none, false}};
+  EXPECT_TRUE(scheduler.on_heartbeat(r, 1).commands.empty());
+  EXPECT_EQ(scheduler.machines().at(0)->state, MachineState::booting);
+  EXPECT_FALSE(scheduler.machines().at(0)->registered);
+  EXPECT_LT(scheduler.machines().at(0)->reclaim_at, 0);
+  r.fencing_token = 7;
   r.seq = 5;
   r.notice_s = -1;
-  EXPECT_EQ(core.on_report(r, 2).orders.size(), 1u);  // what the ledger does not know is stopped
-  EXPECT_TRUE(core.machines().at(0)->registered);
+  EXPECT_EQ(scheduler.on_heartbeat(r, 2).commands.size(),
+            1u);  // what the ledger does not know is stopped
+  EXPECT_TRUE(scheduler.machines().at(0)->registered);
   r.seq = 4;
-  EXPECT_EQ(core.on_report(r, 9).verdict, ReportReply::Verdict::old);
-  EXPECT_DOUBLE_EQ(core.machines().at(0)->last_report, 2);
+  EXPECT_EQ(scheduler.on_heartbeat(r, 9).verdict, HeartbeatReply::Verdict::outdated);
+  EXPECT_DOUBLE_EQ(scheduler.machines().at(0)->last_heartbeat, 2);
 }
 
 // A report of an unknown type or zone neither ends us nor takes a known machine's type away.
-TEST(Core, AReportOfAnUnknownTypeIsOutlived) {
-  Core core = one_zone_core();
-  core.on_machine_list({{"m-2", "h:1", "box", "a", false, ListedMachine::State::running, 10}}, 0,
-                       0);
-  core.on_job_row(one_task(3), "wk-000001", 1);
+TEST(Scheduler, AReportOfAnUnknownTypeIsOutlived) {
+  Scheduler scheduler = one_zone_core();
+  scheduler.on_machine_list({{"m-2", "h:1", "box", "a", false, ListedMachine::State::running, 10}},
+                            0, 0);
+  scheduler.on_job_row(one_task(3), "wk-000001", 1);
   for (const char* machine : {"m-1", "m-2"}) {
-    Report r = report_of_m1();
+    Heartbeat r = report_of_m1();
     r.machine = machine;
     r.type = "round";
     r.zone = "nowhere";
-    r.session = r.seq = 1;
-    r.token = 7;
-    r.tasks = {{"wk-000001", 4000000000u, UINT64_MAX, Seen::running, Cause::none, false}};
-    EXPECT_EQ(core.on_report(r, 1).orders.size(), 1u);
+    r.epoch = r.seq = 1;
+    r.fencing_token = 7;
+    r.tasks = {{"wk-000001", 4000000000u, UINT64_MAX, TaskPhase::running, ExitCause::none, false}};
+    EXPECT_EQ(scheduler.on_heartbeat(r, 1).commands.size(), 1u);
     r.tasks.clear();
     ++r.seq;
-    core.on_report(r, 2);
+    scheduler.on_heartbeat(r, 2);
   }
   for (int i = 3; i < 20; ++i) {
-    core.round(i);
-    core.next_transaction(i);
+    scheduler.round(i);
+    scheduler.next_transaction(i);
   }
-  EXPECT_EQ(core.machines().at(0)->type, 0u);  // m-2, as the cloud lists it
-  EXPECT_EQ(core.machines().at(1)->type, kNone);
-  EXPECT_TRUE(core.machines().at(1)->tasks.empty());
+  EXPECT_EQ(scheduler.machines().at(0)->type, 0u);  // m-2, as the cloud lists it
+  EXPECT_EQ(scheduler.machines().at(1)->type, kNone);
+  EXPECT_TRUE(scheduler.machines().at(1)->tasks.empty());
 }
 
 TEST(States, TerminalStatesAreTerminal) {
   for (const JobState to : {JobState::open, JobState::closing, JobState::done})
-    EXPECT_FALSE(allowed(JobState::aborted, to));
-  for (const JobState to : {JobState::open, JobState::closing, JobState::aborted})
+    EXPECT_FALSE(allowed(JobState::cancelled, to));
+  for (const JobState to : {JobState::open, JobState::closing, JobState::cancelled})
     EXPECT_FALSE(allowed(JobState::done, to));
   EXPECT_FALSE(allowed(AttemptState::proposed, AttemptState::running));
   EXPECT_FALSE(allowed(AttemptState::ended, AttemptState::running));
-  EXPECT_FALSE(allowed(MachineState::gone, MachineState::ready));
+  EXPECT_FALSE(allowed(MachineState::terminated, MachineState::ready));
   EXPECT_TRUE(allowed(MachineState::draining, MachineState::ready));
 }
 
 // ---- a core by itself, with machines that report by hand
 
 // After standing still a leader must not lay its own deafness on the machines.
-TEST(Core, ItsOwnSleepIsNoSilenceOfTheMachines) {
-  Core slept(bare_settings(), {bare_type()}, 7, 0), other(bare_settings(), {bare_type()}, 7, 0);
-  for (Core* c : {&slept, &other})
-    for (int i = 0; i < 10; ++i) c->on_report(bare_report(i, 1, 7), 1);
-  slept.slept(40, 41);
-  EXPECT_FALSE(slept.receives_no_reports(41.1));
-  EXPECT_TRUE(other.receives_no_reports(41.1));
-  slept.round(41.1);
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(state_of(slept, i), MachineState::ready);
-  EXPECT_TRUE(slept.receives_no_reports(60));  // what is silent from then on is silent
+TEST(Scheduler, ItsOwnSleepIsNoSilenceOfTheMachines) {
+  Scheduler on_process_stall(bare_settings(), {bare_type()}, 7, 0),
+      other(bare_settings(), {bare_type()}, 7, 0);
+  for (Scheduler* c : {&on_process_stall, &other})
+    for (int i = 0; i < 10; ++i) c->on_heartbeat(bare_heartbeat(i, 1, 7), 1);
+  on_process_stall.on_process_stall(40, 41);
+  EXPECT_FALSE(on_process_stall.receives_no_heartbeats(41.1));
+  EXPECT_TRUE(other.receives_no_heartbeats(41.1));
+  on_process_stall.round(41.1);
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(state_of(on_process_stall, i), MachineState::ready);
+  EXPECT_TRUE(
+      on_process_stall.receives_no_heartbeats(60));  // what is silent from then on is silent
 }
 
 // Reports that a cut held back come together, all with an older token: they do not show a machine
 // that takes up none of our answers.
-TEST(Core, HeldReportsAreNoMuteMachine) {
-  Core core(bare_settings(), {bare_type()}, 7, 0);
-  for (uint64_t seq = 1; seq <= 6; ++seq) core.on_report(bare_report(0, seq, 3), 10);
-  core.round(19);
-  EXPECT_EQ(state_of(core, 0), MachineState::booting);
+TEST(Scheduler, HeldReportsAreNoMuteMachine) {
+  Scheduler scheduler(bare_settings(), {bare_type()}, 7, 0);
+  for (uint64_t seq = 1; seq <= 6; ++seq) scheduler.on_heartbeat(bare_heartbeat(0, seq, 3), 10);
+  scheduler.round(19);
+  EXPECT_EQ(state_of(scheduler, 0), MachineState::booting);
   // One that goes on like that for long is given up.
   for (uint64_t seq = 7; seq <= 9; ++seq)
-    core.on_report(bare_report(0, seq, 3), 10 + 5.0 * static_cast<double>(seq - 6));
-  core.round(26);
-  EXPECT_EQ(state_of(core, 0), MachineState::terminating);
+    scheduler.on_heartbeat(bare_heartbeat(0, seq, 3), 10 + 5.0 * static_cast<double>(seq - 6));
+  scheduler.round(26);
+  EXPECT_EQ(state_of(scheduler, 0), MachineState::terminating);
 }
 
 // A machine that the cloud lists as running before it was ever heard has only just come up.
-TEST(Core, AMachineIsNotSilentBeforeItIsUp) {
-  Core core(bare_settings(), {bare_type()}, 7, 0);
+TEST(Scheduler, AMachineIsNotSilentBeforeItIsUp) {
+  Scheduler scheduler(bare_settings(), {bare_type()}, 7, 0);
   ListedMachine l{"m-0", "10.0.0.1:1", "box", "a", false, ListedMachine::State::booting, 5};
-  core.on_machine_list({l}, 5, 5);
+  scheduler.on_machine_list({l}, 5, 5);
   l.state = ListedMachine::State::running;
-  core.on_machine_list({l}, 60, 60);
-  core.round(61);
-  EXPECT_EQ(state_of(core, 0), MachineState::booting);
-  core.round(61 + 40);
-  EXPECT_EQ(state_of(core, 0), MachineState::terminating);
+  scheduler.on_machine_list({l}, 60, 60);
+  scheduler.round(61);
+  EXPECT_EQ(state_of(scheduler, 0), MachineState::booting);
+  scheduler.round(61 + 40);
+  EXPECT_EQ(state_of(scheduler, 0), MachineState::terminating);
 }
 
 // Many that fall silent together are waited for as long as replacing them would take, a few are
 // not.
-TEST(Core, ManySilentMachinesAreWaitedFor) {
+TEST(Scheduler, ManySilentMachinesAreWaitedFor) {
   for (const int silent : {2, 10}) {
     Settings settings = bare_settings();
-    settings.tuning.lull_s = 1000;
-    Core core(settings, {bare_type()}, 7, 0);
+    settings.tuning.scale_in_delay_s = 1000;
+    Scheduler scheduler(settings, {bare_type()}, 7, 0);
     double now = 1;
     for (uint64_t seq = 1; now < 70; ++seq, now += 2.5) {
-      for (int i = seq > 4 ? silent : 0; i < 120; ++i) core.on_report(bare_report(i, seq, 7), now);
-      core.round(now);
+      for (int i = seq > 4 ? silent : 0; i < 120; ++i)
+        scheduler.on_heartbeat(bare_heartbeat(i, seq, 7), now);
+      scheduler.round(now);
       if (now < 40 || now > 60) continue;
-      EXPECT_EQ(state_of(core, 0), silent == 2 ? MachineState::terminating : MachineState::ready);
+      EXPECT_EQ(state_of(scheduler, 0),
+                silent == 2 ? MachineState::terminating : MachineState::ready);
     }
-    EXPECT_EQ(state_of(core, 119), MachineState::ready);
+    EXPECT_EQ(state_of(scheduler, 119), MachineState::ready);
   }
 }
 
@@ -734,16 +739,17 @@
 
 // The time to cancel runs from the cancellation, whoever leads: a machine that has not come to a
 // new leader goes once it had time to, unless what the ledger says of it is long past.
-TEST(Core, TheTimeToCancelDoesNotBeginAnewWithALeader) {
+TEST(Scheduler, TheTimeToCancelDoesNotBeginAnewWithALeader) {
   constexpr double kDayOffset = 1000, kNow = 100;
   Settings settings = bare_settings();
   settings.cancel_s = 60;
   const auto returned_at = [&](double cancelled_at, double when) {
-    Core core(settings, {bare_type()}, 7, kNow);
-    core.set_day_offset(kDayOffset);
-    core.load(with_a_task_on_m1(ledger::Standing::aborted, kDayOffset + cancelled_at), kNow);
-    core.watch_cancelled(when);
-    return core.next_return(when, true);
+    Scheduler scheduler(settings, {bare_type()}, 7, kNow);
+    scheduler.set_day_offset(kDayOffset);
+    scheduler.load(
+        ledger_with_a_task_on_m1(ledger::JobStatus::cancelled, kDayOffset + cancelled_at), kNow);
+    scheduler.release_cancelled_work(when);
+    return scheduler.next_return(when, true);
   };
   const std::vector<std::string> m1 = {"m-1"}, none;
   EXPECT_EQ(returned_at(60, 109), m1);
@@ -753,35 +759,36 @@
 }
 
 // In doubt, only machines that keep cancelled work are returned, whatever else is terminating.
-TEST(Core, ALeaderInDoubtReturnsCancelledWorkAlone) {
-  Core core(bare_settings(), {bare_type()}, 7, 0);
-  core.load(with_a_task_on_m1(ledger::Standing::open, 1), 0);
-  core.on_machine_list({{"m-1", "h:1", "box", "a", false, ListedMachine::State::failed, 10}}, 0, 1);
-  EXPECT_EQ(state_of(core, 1), MachineState::terminating);
-  EXPECT_TRUE(core.next_return(2, true).empty());
-  EXPECT_EQ(core.next_return(2).size(), 1u);
+TEST(Scheduler, ALeaderInDoubtReturnsCancelledWorkAlone) {
+  Scheduler scheduler(bare_settings(), {bare_type()}, 7, 0);
+  scheduler.load(ledger_with_a_task_on_m1(ledger::JobStatus::open, 1), 0);
+  scheduler.on_machine_list({{"m-1", "h:1", "box", "a", false, ListedMachine::State::failed, 10}},
+                            0, 1);
+  EXPECT_EQ(state_of(scheduler, 1), MachineState::terminating);
+  EXPECT_TRUE(scheduler.next_return(2, true).empty());
+  EXPECT_EQ(scheduler.next_return(2).size(), 1u);
 }
 
 // A leader that may not have heard of the latest cancellations orders no start, nor stops anything.
-TEST(Core, NoStartIsOrderedWithoutProof) {
-  Core core(bare_settings(), {bare_type()}, 7, 0);
-  core.load(with_a_task_on_m1(ledger::Standing::open, 1), 0);
-  core.allow_starts(false);
-  EXPECT_TRUE(core.on_report(bare_report(1, 1, 7), 1).orders.empty());
-  core.allow_starts(true);
-  const auto orders = core.on_report(bare_report(1, 2, 7), 2).orders;
-  ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].verb, Verb::run);
+TEST(Scheduler, NoStartIsOrderedWithoutProof) {
+  Scheduler scheduler(bare_settings(), {bare_type()}, 7, 0);
+  scheduler.load(ledger_with_a_task_on_m1(ledger::JobStatus::open, 1), 0);
+  scheduler.allow_starts(false);
+  EXPECT_TRUE(scheduler.on_heartbeat(bare_heartbeat(1, 1, 7), 1).commands.empty());
+  scheduler.allow_starts(true);
+  const auto commands = scheduler.on_heartbeat(bare_heartbeat(1, 2, 7), 2).commands;
+  ASSERT_EQ(commands.size(), 1u);
+  EXPECT_EQ(commands[0].verb, CommandKind::start);
 }
 
 // Invariant 1: a start is written on condition of the leader key, its page and its job's version.
-TEST(Core, AStartIsWrittenOnItsConditions) {
-  Core core(bare_settings(), {bare_type()}, 7, 0);
-  core.load(with_a_task_on_m1(ledger::Standing::open, 1), 0);
-  core.on_report(bare_report(1, 1, 7), 1);
-  core.round(1);
+TEST(Scheduler, AStartIsWrittenOnItsConditions) {
+  Scheduler scheduler(bare_settings(), {bare_type()}, 7, 0);
+  scheduler.load(ledger_with_a_task_on_m1(ledger::JobStatus::open, 1), 0);
+  scheduler.on_heartbeat(bare_heartbeat(1, 1, 7), 1);
+  scheduler.round(1);
   bool started = false;
-  while (const auto p = core.next_transaction(1)) {
+  while (const auto p = scheduler.next_transaction(1)) {
     if (p->txn.changes.at(0).key != "rd/t/0") continue;
     started = true;
     std::map<std::string, uint64_t> conditions;
@@ -794,19 +801,19 @@
 
 // Reports that take up nothing of what their predecessors were answered: the machine is out of
 // reach.
-TEST(Core, AMachineThatHeedsNothingTakesNoWork) {
-  Core core(bare_settings(), {bare_type()}, 7, 0);
-  core.load(with_a_task_on_m1(ledger::Standing::open, 1), 0);
+TEST(Scheduler, AMachineThatHeedsNothingTakesNoWork) {
+  Scheduler scheduler(bare_settings(), {bare_type()}, 7, 0);
+  scheduler.load(ledger_with_a_task_on_m1(ledger::JobStatus::open, 1), 0);
   for (uint64_t seq = 1; seq <= 3; ++seq) {
-    EXPECT_FALSE(core.machines().at(0)->unreachable());
-    core.on_report(bare_report(1, seq, 7), static_cast<double>(seq));
+    EXPECT_FALSE(scheduler.machines().at(0)->unreachable());
+    scheduler.on_heartbeat(bare_heartbeat(1, seq, 7), static_cast<double>(seq));
   }
-  EXPECT_TRUE(core.machines().at(0)->unreachable());
-  core.watch_cancelled(4);
-  EXPECT_EQ(state_of(core, 1), MachineState::ready);  // nothing cancelled is on it
-  core.round(4);
-  core.round(13);
-  EXPECT_EQ(state_of(core, 1), MachineState::terminating);
+  EXPECT_TRUE(scheduler.machines().at(0)->unreachable());
+  scheduler.release_cancelled_work(4);
+  EXPECT_EQ(state_of(scheduler, 1), MachineState::ready);  // nothing cancelled is on it
+  scheduler.round(4);
+  scheduler.round(13);
+  EXPECT_EQ(state_of(scheduler, 1), MachineState::terminating);
 }
 
 // A user hears of a cancellation only once a leader is known to know it.
@@ -829,8 +836,9 @@
 TEST(CancellationStaleness, AllSiblingsTogetherProveAsTheLedgerDoes) {
   CancellationStaleness h({"n1", "n2"});
   constexpr uint64_t kOurs = 7;
-  const auto vouch = [&](const char* who, const char* process, uint64_t token, double sent) {
-    h.vouched(who, process, token, kOurs, sent, sent + 0.1);
+  const auto vouch = [&](const char* who, const char* process, uint64_t fencing_token,
+                         double sent) {
+    h.on_sibling_answer(who, process, fencing_token, kOurs, sent, sent + 0.1);
   };
   vouch("n1", "a", 7, 8);
   vouch("n2", "b", 7, 8);
@@ -848,21 +856,21 @@
 TEST(CancellationStaleness, ARestartedSiblingProvesNothingOfItsPredecessor) {
   CancellationStaleness h({"n1", "n2"});
   constexpr uint64_t kOurs = 7;
-  h.vouched("n1", "a", 7, kOurs, 8, 8.1);
-  h.vouched("n2", "b", 7, kOurs, 8, 8.1);
+  h.on_sibling_answer("n1", "a", 7, kOurs, 8, 8.1);
+  h.on_sibling_answer("n2", "b", 7, kOurs, 8, 8.1);
   h.proven(10);
-  h.vouched("n1", "a", 7, kOurs, 12, 12.1);
-  h.vouched("n2", "b2", 7, kOurs, 12, 12.1);  // what b told after 8 nobody knows
+  h.on_sibling_answer("n1", "a", 7, kOurs, 12, 12.1);
+  h.on_sibling_answer("n2", "b2", 7, kOurs, 12, 12.1);  // what b told after 8 nobody knows
   EXPECT_EQ(h.at(), 10);
-  h.vouched("n1", "a", 7, kOurs, 20, 20.1);
-  h.vouched("n2", "b2", 7, kOurs, 20, 20.1);
+  h.on_sibling_answer("n1", "a", 7, kOurs, 20, 20.1);
+  h.on_sibling_answer("n2", "b2", 7, kOurs, 20, 20.1);
   EXPECT_EQ(h.at(), 10);
   h.proven(25);  // the ledger answered: all before that is known
-  h.vouched("n1", "a", 7, kOurs, 30, 30.1);
-  h.vouched("n2", "b2", 7, kOurs, 31, 31.1);
+  h.on_sibling_answer("n1", "a", 7, kOurs, 30, 30.1);
+  h.on_sibling_answer("n2", "b2", 7, kOurs, 31, 31.1);
   EXPECT_EQ(h.at(), 30);
-  h.vouched("n1", "", 7, kOurs, 40, 40.1);  // names no process
-  h.vouched("n2", "b2", 7, kOurs, 40, 40.1);
+  h.on_sibling_answer("n1", "", 7, kOurs, 40, 40.1);  // names no process
+  h.on_sibling_answer("n2", "b2", 7, kOurs, 40, 40.1);
   EXPECT_EQ(h.at(), 30);
 }
 
