--- a/tests/core_troubles_test.cpp
+++ b/tests/scheduler_troubles_test.cpp
@@ -1,5 +1,6 @@
-// The core over minutes, with a few machines that report every second: jobs that fail everywhere,
-// teams without a guarantee, machines that never come up, a burst that was not foreseen.
+// The scheduler over minutes, with a few machines that report every second: jobs that fail
+// everywhere, teams without a guarantee, machines that never come up, a burst that was not
+// foreseen.
 
 #include <gtest/gtest.h>
 
@@ -11,9 +12,9 @@
 #include <tuple>
 #include <vector>
 
-#include "core/core.h"
-#include "core/forecast.h"
-#include "core_fixtures.h"
+#include "fleet/forecast.h"
+#include "scheduler/scheduler.h"
+#include "scheduler_fixtures.h"
 
 namespace rookdyke {
 namespace {
@@ -25,13 +26,13 @@
 // A leader, machines of 4 GPUs that do what they are told, and a ledger that takes every write.
 class Deployment : public testing::Test {
  protected:
-  explicit Deployment(std::vector<TeamInfo> teams = {{"team", 0, 0, 0, 0}})
-      : core(settings(std::move(teams)), {bare_type()}, kToken, 0) {}
-  static Settings settings(std::vector<TeamInfo> teams) {
+  explicit Deployment(std::vector<TeamQuota> teams = {{"team", 0, 0, 0, 0}})
+      : scheduler(settings(std::move(teams)), {bare_type()}, kToken, 0) {}
+  static Settings settings(std::vector<TeamQuota> teams) {
     Settings s = bare_settings();
-    s.report_s = 1;
+    s.heartbeat_interval_s = 1;
     s.teams = std::move(teams);
-    s.tuning.lull_s = 1e6;  // no machine is drained in these tests
+    s.tuning.scale_in_delay_s = 1e6;  // no machine is drained in these tests
     return s;
   }
   void add_machine(int number) { workers_.push_back({number, 0, {}}); }
@@ -41,36 +42,37 @@
   // A job whose tasks run for so long; negative: they fail.
   void submit(const std::string& id, uint32_t tasks, double gpus, double run_s,
               const std::string& team = "team") {
-    MirrorJob job;
+    CachedJob job;
     job.version = ++revision_;
-    job.row.tasks = job.row.per = tasks;
+    job.row.tasks = job.row.chunk_size = tasks;
     job.row.spec = JobSpec{};
     job.row.spec->team = team;
-    job.row.spec->each = {1, gpus, 1};
-    job.row.spec->estimate_s = std::abs(run_s);
+    job.row.spec->per_task = {1, gpus, 1};
+    job.row.spec->expected_runtime_s = std::abs(run_s);
     run_s_[id] = run_s;
     rows_[id] = job;
-    core.on_job_row(job, id, now);
+    scheduler.on_job_row(job, id, now);
   }
   void cancel(const std::string& id) {
-    MirrorJob& job = rows_.at(id);
+    CachedJob& job = rows_.at(id);
     job.version = ++revision_;
-    job.row.standing = ledger::Standing::aborted;
-    core.on_job_row(job, id, now);
+    job.row.status = ledger::JobStatus::cancelled;
+    scheduler.on_job_row(job, id, now);
   }
   void run_until(double end) {
     while (now < end) {
       now += 1;
       for (Worker& w : workers_) report(w);
-      core.round(now);
-      while (auto p = core.next_transaction(now))
-        core.on_result(p->id, {ledger::Outcome::applied, ++revision_, {}}, now);
+      scheduler.round(now);
+      while (auto p = scheduler.next_transaction(now))
+        scheduler.on_result(p->id, {ledger::Outcome::applied, ++revision_, {}}, now);
     }
   }
   size_t running(const std::string& id) const {
     size_t n = 0;
     for (const Worker& w : workers_)
-      for (const auto& [k, t] : w.tasks) n += t.report.job == id && t.report.seen == Seen::running;
+      for (const auto& [k, t] : w.tasks)
+        n += t.report.job == id && t.report.phase == TaskPhase::running;
     return n;
   }
   size_t most_at_once(const std::string& id) const {
@@ -78,13 +80,13 @@
     return it == most_.end() ? 0 : it->second;
   }
 
-  Core core;
+  Scheduler scheduler;
   double now = 0;
   std::map<std::string, size_t> starts, ends;
 
  private:
   struct Task {
-    TaskReport report;
+    TaskStatus report;
     double ends_at = 0;
   };
   struct Worker {
@@ -93,28 +95,28 @@
     std::map<std::tuple<std::string, uint32_t, uint64_t>, Task> tasks;
   };
   void report(Worker& w) {
-    Report r = bare_report(w.number, ++w.seq, kToken);
+    Heartbeat r = bare_heartbeat(w.number, ++w.seq, kToken);
     for (auto& [k, t] : w.tasks) {
-      if (t.report.seen == Seen::running && now >= t.ends_at) {
-        t.report.seen = Seen::exited;
-        t.report.cause = run_s_.at(t.report.job) < 0 ? Cause::error : Cause::done;
-        ends[t.report.job] += t.report.cause == Cause::done;
+      if (t.report.phase == TaskPhase::running && now >= t.ends_at) {
+        t.report.phase = TaskPhase::exited;
+        t.report.cause = run_s_.at(t.report.job) < 0 ? ExitCause::error : ExitCause::done;
+        ends[t.report.job] += t.report.cause == ExitCause::done;
       }
       r.tasks.push_back(t.report);
     }
-    for (const Order& o : core.on_report(r, now).orders) obey(w, o);
+    for (const WorkerCommand& o : scheduler.on_heartbeat(r, now).commands) obey(w, o);
   }
-  void obey(Worker& w, const Order& o) {
+  void obey(Worker& w, const WorkerCommand& o) {
     const auto key = std::make_tuple(o.job, o.task, o.attempt);
-    if (o.verb == Verb::clear) {
+    if (o.verb == CommandKind::forget) {
       w.tasks.erase(key);
-    } else if (o.verb == Verb::stop) {
+    } else if (o.verb == CommandKind::stop) {
       auto t = w.tasks.find(key);
-      if (t == w.tasks.end() || t->second.report.seen == Seen::exited) return;
-      t->second.report.seen = Seen::exited;
-      t->second.report.cause = Cause::halted;
+      if (t == w.tasks.end() || t->second.report.phase == TaskPhase::exited) return;
+      t->second.report.phase = TaskPhase::exited;
+      t->second.report.cause = ExitCause::stopped;
     } else if (!w.tasks.count(key)) {
-      w.tasks[key] = {{o.job, o.task, o.attempt, Seen::running, Cause::none, false},
+      w.tasks[key] = {{o.job, o.task, o.attempt, TaskPhase::running, ExitCause::none, false},
                       now + std::abs(run_s_.at(o.job))};
       ++starts[o.job];
       most_[o.job] = std::max(most_[o.job], running(o.job));
@@ -123,7 +125,7 @@
 
   std::vector<Worker> workers_;
   std::map<std::string, double> run_s_;
-  std::map<std::string, MirrorJob> rows_;
+  std::map<std::string, CachedJob> rows_;
   std::map<std::string, size_t> most_;
   uint64_t revision_ = 100;
 };
@@ -138,16 +140,16 @@
   submit("wk-000002", 48, 4, -2);  // errors of two jobs in a row terminate a machine otherwise
   run_until(300);
   EXPECT_GE(starts["wk-000001"], at_first + 3);  // its mistake may be mended any time
-  for (const auto& m : core.machines()) {
+  for (const auto& m : scheduler.machines()) {
     EXPECT_FALSE(m->cordoned) << m->name;
     EXPECT_EQ(m->state, MachineState::ready) << m->name;
   }
   for (const char* id : {"wk-000001", "wk-000002"}) {
-    ASSERT_TRUE(core.find_job(id));
+    ASSERT_TRUE(scheduler.find_job(id));
     cancel(id);
   }
   run_until(310);
-  for (const char* id : {"wk-000001", "wk-000002"}) EXPECT_FALSE(core.find_job(id));
+  for (const char* id : {"wk-000001", "wk-000002"}) EXPECT_FALSE(scheduler.find_job(id));
 }
 
 // Once it is known, one task shows whether it still fails, and the next one waits for its back-off.
@@ -169,9 +171,9 @@
   add_machines(6);
   submit("wk-000001", 48, 4, -2);
   run_until(2);
-  EXPECT_GE(core.summary(now).target, 40);  // not known yet
+  EXPECT_GE(scheduler.summary(now).target, 40);  // not known yet
   run_until(180);
-  EXPECT_LE(core.summary(now).target, 2);
+  EXPECT_LE(scheduler.summary(now).target, 2);
 }
 
 TEST_F(Deployment, AFaultyArrayLeavesTheMachinesToOthers) {
@@ -256,19 +258,19 @@
   const std::set<std::string> never_up = {"m-1", "m-2"};
   while (now < 400) {
     run_until(now + 1);
-    while (auto h = core.next_rental_request(now)) {
+    while (auto h = scheduler.next_rental_request(now)) {
       std::vector<std::string> names;
       names.reserve(static_cast<size_t>(h->count));
       for (int i = 0; i < h->count; ++i) names.push_back("m-" + std::to_string(rented++));
-      core.on_rental_result(*h, CloudOutcome::done, names, now);
+      scheduler.on_rental_result(*h, CloudOutcome::done, names, now);
     }
-    const auto names = core.next_return(now);
+    const auto names = scheduler.next_return(now);
     returned.insert(names.begin(), names.end());
-    if (!names.empty()) core.on_return(names, CloudOutcome::done, now);
+    if (!names.empty()) scheduler.on_return(names, CloudOutcome::done, now);
     // All others come up after the time that the cloud publishes.
     if (now == 60) at_first = rented;
     if (now == 60 || now == 180)
-      for (const auto& m : core.machines())
+      for (const auto& m : scheduler.machines())
         if (!never_up.count(m->name) && !m->registered) add_machine(std::stoi(m->name.substr(2)));
   }
   EXPECT_EQ(at_first, 5u);  // one to spare
@@ -283,11 +285,11 @@
 TEST(Forecast, AGiantMissIsForgottenAfterAMinute) {
   const Tuning tuning;
   Forecast f(tuning, 50);
-  const Amounts machine = {16, 4, 64};
+  const Resources machine = {16, 4, 64};
   double last_high = 0, high = 0;
   for (double t = 0; t <= 400; t += tuning.sample_s) {
     const bool burst = t >= 200 && t < 250;
-    f.sample(t, burst ? Amounts{1600, 400, 6400} : Amounts{16, 4, 64});
+    f.sample(t, burst ? Resources{1600, 400, 6400} : Resources{16, 4, 64});
     if (f.target(machine) > 2) last_high = t;
     if (t == 220) high = f.target(machine);
   }
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "core/admission.h"
-#include "core/core.h"
-#include "core_fixtures.h"
+#include "admission/admission.h"
+#include "scheduler/scheduler.h"
+#include "scheduler_fixtures.h"
 
 namespace rookdyke {
 namespace {
@@ -25,50 +25,51 @@
 // A leader with a few machines whose reports are written by the test.
 class Services : public testing::Test {
  protected:
-  Services() : core(settings(), {bare_type()}, kToken, 0) {}
+  Services() : scheduler(settings(), {bare_type()}, kToken, 0) {}
 
   // Machines that are nearly empty stay: moving off them is for scenarios.
   static Settings settings() {
     Settings s = bare_settings();
-    s.tuning.lull_s = 1e6;
+    s.tuning.scale_in_delay_s = 1e6;
     return s;
   }
 
-  void submit(const std::string& id, uint32_t replicas, double now, Shape shape = Shape::service,
-              Rank rank = Rank::critical) {
-    MirrorJob job = bare_job(replicas, {2, 0, 4}, ++revision);
+  void submit(const std::string& id, uint32_t replicas, double now,
+              JobShape shape = JobShape::service, Priority priority = Priority::critical) {
+    CachedJob job = bare_job(replicas, {2, 0, 4}, ++revision);
     job.row.spec->shape = shape;
-    job.row.spec->rank = rank;
-    core.on_job_row(job, id, now);
+    job.row.spec->priority = priority;
+    scheduler.on_job_row(job, id, now);
   }
   // A report of that machine with all its tasks as they are, but for the ones that are named.
-  ReportReply report(int machine, double now,
-                     std::map<std::pair<std::string, uint32_t>, Cause> ends = {},
-                     double notice_s = -1) {
-    Report r = bare_report(machine, ++seq, kToken);
+  HeartbeatReply report(int machine, double now,
+                        std::map<std::pair<std::string, uint32_t>, ExitCause> ends = {},
+                        double notice_s = -1) {
+    Heartbeat r = bare_heartbeat(machine, ++seq, kToken);
     r.notice_s = notice_s;
-    for (const auto& m : core.machines()) {
+    for (const auto& m : scheduler.machines()) {
       if (m->name != r.machine) continue;
       for (const std::string id : {kService, kOther}) {
-        const Job* job = core.find_job(id);
+        const Job* job = scheduler.find_job(id);
         if (!job) continue;
         for (const auto& [task, a] : job->attempts) {
           if (a.machine != m->index || a.state == AttemptState::proposed) continue;
           const auto end = ends.find({id, task});
-          const bool gone = end != ends.end();
-          r.tasks.push_back({id, task, a.number, gone ? Seen::exited : Seen::running,
-                             gone ? end->second : Cause::none, false});
+          const bool terminated = end != ends.end();
+          r.tasks.push_back({id, task, a.number,
+                             terminated ? TaskPhase::exited : TaskPhase::running,
+                             terminated ? end->second : ExitCause::none, false});
         }
       }
     }
-    return core.on_report(r, now);
+    return scheduler.on_heartbeat(r, now);
   }
   void commit_all(double now) {
-    while (auto p = core.next_transaction(now))
-      core.on_result(p->id, {Outcome::applied, ++revision, {}}, now);
+    while (auto p = scheduler.next_transaction(now))
+      scheduler.on_result(p->id, {Outcome::applied, ++revision, {}}, now);
   }
   void round(double now) {
-    core.round(now);
+    scheduler.round(now);
     commit_all(now);
   }
   // Machines report, what waits is placed and made durable, and runs.
@@ -77,18 +78,18 @@
     round(now);
     for (int i = 1; i <= machines; ++i) report(i, now + 0.5);
   }
-  const Job& service() const { return *core.find_job(kService); }
+  const Job& service() const { return *scheduler.find_job(kService); }
   size_t running() const {
     return static_cast<size_t>(
         std::count_if(service().attempts.begin(), service().attempts.end(),
                       [](const auto& a) { return a.second.state == AttemptState::running; }));
   }
   int machine_of(uint32_t replica) const {
-    const std::string& name = core.machines()[service().attempts.at(replica).machine]->name;
+    const std::string& name = scheduler.machines()[service().attempts.at(replica).machine]->name;
     return std::stoi(name.substr(2));
   }
 
-  Core core;
+  Scheduler scheduler;
   uint64_t revision = 100;
   uint64_t seq = 0;
 };
@@ -106,7 +107,8 @@
 TEST_F(Services, AReplicaThatEndsRunsAgainUnderANewAttempt) {
   submit(kService, 2, 1);
   run_on(2, 1);
-  for (const Cause cause : {Cause::done, Cause::error, Cause::no_room}) {
+  for (const ExitCause cause :
+       {ExitCause::done, ExitCause::error, ExitCause::insufficient_resources}) {
     const auto now = static_cast<double>(100 * (1 + static_cast<int>(cause)));
     const uint64_t before = service().attempts.at(0).number;
     const int machine = machine_of(0);
@@ -135,8 +137,8 @@
     round(now);
     EXPECT_EQ(machine_of(0), machine);
   }
-  report(machine, 10, {{{kService, 0}, Cause::done}});
-  core.round(10);
+  report(machine, 10, {{{kService, 0}, ExitCause::done}});
+  scheduler.round(10);
   EXPECT_EQ(service().attempts.at(0).state, AttemptState::ended);
 }
 
@@ -148,7 +150,7 @@
   uint64_t number = service().attempts.at(0).number;
   for (double now = 2; now < 122; now += 0.5) {
     if (running() > 0)
-      report(1, now, {{{kService, 0}, Cause::done}});
+      report(1, now, {{{kService, 0}, ExitCause::done}});
     else
       report(1, now);
     round(now);
@@ -168,14 +170,14 @@
   double now = 20;
   for (int k = 0; k < 3; ++k) {
     for (int i = 1; i <= 4; ++i) report(i, now);
-    report(machine_of(0), now + 1, {{{kService, 0}, Cause::error}});
+    report(machine_of(0), now + 1, {{{kService, 0}, ExitCause::error}});
     commit_all(now + 1);
     for (double t = now + 1; t < now + 40; t += 1) {
       for (int i = 1; i <= 4; ++i) report(i, t);
       round(t);
     }
     ASSERT_EQ(running(), 3u) << "after " << k + 1 << " errors far apart";
-    EXPECT_TRUE(service().erred_on.empty());
+    EXPECT_TRUE(service().failed_machines.empty());
     now += 60;
   }
 }
@@ -185,9 +187,9 @@
   run_on(4, 1);
   const int machine = machine_of(0);
   for (int i = 1; i <= 4; ++i) report(i, 20);
-  const ReportReply reply = report(machine, 21, {}, 12);
-  EXPECT_TRUE(std::any_of(reply.orders.begin(), reply.orders.end(), [](const Order& o) {
-    return o.verb == Verb::stop && o.job == kService && o.task == 0;
+  const HeartbeatReply reply = report(machine, 21, {}, 12);
+  EXPECT_TRUE(std::any_of(reply.commands.begin(), reply.commands.end(), [](const WorkerCommand& o) {
+    return o.verb == CommandKind::stop && o.job == kService && o.task == 0;
   }));
 }
 
@@ -209,10 +211,10 @@
 TEST_F(Services, AMissingReplicaGoesFirst) {
   submit(kService, 1, 1);
   run_on(1, 1);
-  submit(kOther, 100, 30, Shape::array);
+  submit(kOther, 100, 30, JobShape::array);
   report(1, 30);
-  report(1, 31, {{{kService, 0}, Cause::none}});
-  core.on_report(bare_report(1, ++seq, kToken), 32);  // it lists nothing any more
+  report(1, 31, {{{kService, 0}, ExitCause::none}});
+  scheduler.on_heartbeat(bare_heartbeat(1, ++seq, kToken), 32);  // it lists nothing any more
   commit_all(45);
   report(1, 45);
   round(45);
@@ -222,76 +224,76 @@
 // The changes a second are few: what is written first decides what starts in time.
 class OrderOfWrites : public testing::Test {
  protected:
-  OrderOfWrites() : core(settings(), {bare_type()}, kToken, 0) {}
+  OrderOfWrites() : scheduler(settings(), {bare_type()}, kToken, 0) {}
   static Settings settings() {
     Settings s = bare_settings();
     s.objectives.push_back({true, "promised", 5});
     return s;
   }
-  void submit(const std::string& id, const std::string& job_class, Shape shape, double now) {
-    MirrorJob job = bare_job(1, {1, 0, 1}, ++revision);
+  void submit(const std::string& id, const std::string& job_class, JobShape shape, double now) {
+    CachedJob job = bare_job(1, {1, 0, 1}, ++revision);
     job.row.spec->job_class = job_class;
     job.row.spec->shape = shape;
-    core.on_job_row(job, id, now);
-    core.on_report(bare_report(1, ++seq, kToken), now);
-    core.round(now);
+    scheduler.on_job_row(job, id, now);
+    scheduler.on_heartbeat(bare_heartbeat(1, ++seq, kToken), now);
+    scheduler.round(now);
   }
   // Whose starts are written one after the other.
   std::vector<std::string> written(double now) {
     std::vector<std::string> out;
-    while (auto p = core.next_transaction(now)) {
+    while (auto p = scheduler.next_transaction(now)) {
       const auto& change = p->txn.changes.at(0);
       if (change.key.rfind(ledger::kTaskPrefix, 0) == 0)
         out.push_back(change.value.at("e").at(0).at(0).get<std::string>());
-      core.on_result(p->id, {Outcome::applied, ++revision, {}}, now);
+      scheduler.on_result(p->id, {Outcome::applied, ++revision, {}}, now);
     }
     return out;
   }
 
-  Core core;
+  Scheduler scheduler;
   uint64_t revision = 100, seq = 0;
 };
 
 TEST_F(OrderOfWrites, ReplicasGoFirstThenPromisedStarts) {
-  submit("wk-000001", "usual", Shape::array, 1);
-  submit("wk-000002", "promised", Shape::array, 6);
-  submit("wk-000003", "api", Shape::service, 7);
+  submit("wk-000001", "usual", JobShape::array, 1);
+  submit("wk-000002", "promised", JobShape::array, 6);
+  submit("wk-000003", "api", JobShape::service, 7);
   EXPECT_EQ(written(7), (std::vector<std::string>{"wk-000003", "wk-000002", "wk-000001"}));
 }
 
 TEST_F(OrderOfWrites, NothingIsPutOffForEverForPromisedStarts) {
-  submit("wk-000001", "usual", Shape::array, 1);
-  submit("wk-000002", "promised", Shape::array, 12);
+  submit("wk-000001", "usual", JobShape::array, 1);
+  submit("wk-000002", "promised", JobShape::array, 12);
   EXPECT_EQ(written(12.1), (std::vector<std::string>{"wk-000001", "wk-000002"}));
 }
 
 TEST(ServiceAdmission, AllReplicasTogetherHaveToFitTheTeamsLimit) {
   JobSpec job;
   job.team = "team";
-  job.shape = Shape::service;
+  job.shape = JobShape::service;
   job.tasks = 4;
-  job.each = {2, 0, 4};
-  const std::vector<TeamInfo> teams = {{"team", 0, 7, 0, 0}};
+  job.per_task = {2, 0, 4};
+  const std::vector<TeamQuota> teams = {{"team", 0, 7, 0, 0}};
   EXPECT_TRUE(never_runs(job, {bare_type()}, teams, {"a"}));
   job.tasks = 3;
   EXPECT_FALSE(never_runs(job, {bare_type()}, teams, {"a"}));
-  job.shape = Shape::array;
+  job.shape = JobShape::array;
   job.tasks = 4;
   EXPECT_FALSE(never_runs(job, {bare_type()}, teams, {"a"}));
 }
 
 // Version 0.1 takes a service for an array and may have written that a replica is done.
 TEST_F(Services, WhatAnOldLeaderTookForDoneRunsAgain) {
-  Mirror m;
+  LedgerCache m;
   ledger::JobRow row;
-  row.tasks = row.per = 2;
+  row.tasks = row.chunk_size = 2;
   row.spec = JobSpec{};
   row.spec->team = "team";
-  row.spec->shape = Shape::service;
-  row.spec->each = {1, 1, 1};
+  row.spec->shape = JobShape::service;
+  row.spec->per_task = {1, 1, 1};
   m.put(ledger::job_key(kService), ledger::encode(row), 3);
   m.put("rd/t/0", nlohmann::json::parse(R"({"w":"x","e":[["wk-000001",0,1,[0,1],[]]]})"), 4);
-  core.load(m, 0);
+  scheduler.load(m, 0);
   EXPECT_EQ(service().waiting.size(), 2u);
   EXPECT_EQ(service().done_count, 0u);
 }
--- a/tests/sim.cpp
+++ b/tests/sim.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 constexpr double kLeaseTtl = 2.5;
-constexpr double kMaxDoubt = 60;
+constexpr double kMaxUnconfirmed = 60;
 constexpr double kMaxStaleness = 3;
 constexpr double kWire = 0.005;
 // As the daemon's: an answer to a poll or a submission is refused that much after the question.
@@ -40,10 +40,10 @@
 ledger::Result Store::commit(const ledger::Transaction& t) {
   const double late = outage ? -1 : lateness();
   if (late < 0) {
-    unanswered = !outage && loses_answer();
+    unanswered_starts = !outage && loses_answer();
     return apply(t);
   }
-  unanswered = true;
+  unanswered_starts = true;
   clock_.after(late, [this, t] { apply(t); });
   return {};
 }
@@ -152,7 +152,7 @@
 
 // ---------------------------------------------------------------- worker
 
-Worker::Worker(World& w, std::string n, TypeInfo t, std::string z, bool s)
+Worker::Worker(World& w, std::string n, MachineType t, std::string z, bool s)
     : rented_at(w.clock.now),
       name(std::move(n)),
       zone(std::move(z)),
@@ -161,24 +161,24 @@
       w_(w) {}
 
 void Worker::boot() {
-  if (gone) return;
+  if (terminated) return;
   up = true;
   lease_from_ = w_.clock.now;
-  node_ = w_.random() % w_.nodes.size();
+  controller_ = w_.random() % w_.nodes.size();
   next_in(0.01);
   w_.clock.after(0.5, [this] { check_lease(); });
 }
 
 void Worker::check_lease() {
-  if (gone) return;
-  if (!hung && w_.clock.now - lease_from_ > w_.settings.lease_s) session_over();
+  if (terminated) return;
+  if (!hung && w_.clock.now - lease_from_ > w_.settings.lease_s) end_epoch();
   w_.clock.after(0.5, [this] { check_lease(); });
 }
 
-void Worker::session_over() {
+void Worker::end_epoch() {
   while (!tasks.empty())
-    leave(tasks.begin()->first.first, tasks.begin()->first.second, Cause::none, false);
-  ++session_;
+    leave(tasks.begin()->first.first, tasks.begin()->first.second, ExitCause::none, false);
+  ++epoch_;
   lease_from_ = w_.clock.now;
 }
 
@@ -186,7 +186,7 @@
   hung = true;
   w_.clock.after(s, [this] {
     hung = false;
-    if (w_.clock.now - lease_from_ > w_.settings.lease_s) session_over();
+    if (w_.clock.now - lease_from_ > w_.settings.lease_s) end_epoch();
     in_flight_ = false;
     for (const Held& h : held_) carry_out(h);
     held_.clear();
@@ -195,10 +195,10 @@
 }
 
 void Worker::vanish() {
-  if (gone) return;
+  if (terminated) return;
   while (!tasks.empty())
-    leave(tasks.begin()->first.first, tasks.begin()->first.second, Cause::none, false);
-  gone = true;
+    leave(tasks.begin()->first.first, tasks.begin()->first.second, ExitCause::none, false);
+  terminated = true;
 }
 
 void Worker::notice(double s) {
@@ -222,82 +222,83 @@
   next_in(std::max(0.01, last_sent_ + 0.5 - w_.clock.now));
 }
 
-Report Worker::make_report() {
-  Report r;
+Heartbeat Worker::make_heartbeat() {
+  Heartbeat r;
   r.machine = name;
   r.addr = "worker-" + name;
   r.type = type.name;
   r.zone = zone;
   r.spot = spot;
-  r.session = session_;
+  r.epoch = epoch_;
   r.seq = ++seq_;
-  r.token = token_;
+  r.fencing_token = fencing_token_;
   if (recall_at_ >= 0) r.notice_s = std::max(0.0, recall_at_ - w_.clock.now);
   for (const auto& [k, t] : tasks)
-    r.tasks.push_back({k.first, k.second, t.attempt, t.seen, t.cause, t.saved});
+    r.tasks.push_back({k.first, k.second, t.attempt, t.phase, t.cause, t.saved});
   return r;
 }
 
 void Worker::report() {
-  if (gone || hung || in_flight_) return;
+  if (terminated || hung || in_flight_) return;
   in_flight_ = true;
   dirty_ = false;
   const double sent = w_.clock.now;
   last_sent_ = sent;
-  const uint64_t session = session_;
+  const uint64_t epoch = epoch_;
   if (w_.clock.now < mute_until) {  // it cannot even connect
-    w_.clock.after(kWire, [this, session, sent] {
+    w_.clock.after(kWire, [this, epoch, sent] {
       in_flight_ = false;
-      if (!gone && !hung) answered(sent, session, 0, 0, {}, "", -1);
+      if (!terminated && !hung) answered(sent, epoch, 0, 0, {}, "", -1);
     });
     return;
   }
-  const Report r = make_report();
+  const Heartbeat r = make_heartbeat();
   if (w_.chance() < w_.late_copies)
     w_.clock.after(w_.late_copies_s * w_.chance(), [this, r] {
-      SimNode& n = *w_.nodes[w_.random() % w_.nodes.size()];
-      if (n.alive) n.on_report(r);
+      SimController& n = *w_.nodes[w_.random() % w_.nodes.size()];
+      if (n.alive) n.on_heartbeat(r);
     });
   w_.keep_copy(r);
-  auto got = std::make_shared<SimNode::ReportAnswer>();
+  auto got = std::make_shared<SimController::HeartbeatAnswer>();
   auto served = std::make_shared<bool>(false);
   auto ordered_at = std::make_shared<double>(-1);
-  const size_t node = node_;
+  const size_t controller = controller_;
   w_.call(
-      name, "n" + std::to_string(node), 4,
-      [this, r, got, served, node, ordered_at] {
-        auto a = w_.nodes[node]->on_report(r);
+      name, "n" + std::to_string(controller), 4,
+      [this, r, got, served, controller, ordered_at] {
+        auto a = w_.nodes[controller]->on_heartbeat(r);
         if (*served) return;
         *got = a;
         *ordered_at = w_.clock.now;
         *served = true;
       },
-      [this, got, served, sent, session, ordered_at](bool ok) {
-        if (gone) return;
+      [this, got, served, sent, epoch, ordered_at](bool ok) {
+        if (terminated) return;
         ok = ok && w_.clock.now >= deaf_until;
         in_flight_ = false;
         if (hung) return;
         if (!ok)
-          answered(sent, session, 0, 0, {}, "", -1);
+          answered(sent, epoch, 0, 0, {}, "", -1);
         else
-          answered(sent, session, got->status, got->token, got->orders, got->leader, *ordered_at);
+          answered(sent, epoch, got->status, got->fencing_token, got->commands, got->leader,
+                   *ordered_at);
       });
 }
 
-void Worker::answered(double sent, uint64_t session, int status, uint64_t token,
-                      const std::vector<Order>& orders, const std::string& leader,
+void Worker::answered(double sent, uint64_t epoch, int status, uint64_t fencing_token,
+                      const std::vector<WorkerCommand>& commands, const std::string& leader,
                       double ordered_at) {
-  if (session != session_) {
+  if (epoch != epoch_) {
     next_in(0.1);
     return;
   }
   if (status == 200) {
-    if (token >= token_) {
-      token_ = token;
+    if (fencing_token >= fencing_token_) {
+      fencing_token_ = fencing_token;
       lease_from_ = sent;
-      execute(orders, ordered_at);
+      execute(commands, ordered_at);
     }
-    const double base = w_.settings.report_s;
+    const double base = w_.settings.heartbeat_interval_s;
     const double gap = base * (0.75 + 0.5 * w_.chance());
     if (dirty_)
       next_in(std::max(0.01, last_sent_ + 0.5 - w_.clock.now));
@@ -305,13 +306,13 @@
       next_in(std::max(0.01, sent + gap - w_.clock.now));
     return;
   }
-  if (status == 421 && !leader.empty() && leader != w_.nodes[node_]->label()) {
+  if (status == 421 && !leader.empty() && leader != w_.nodes[controller_]->label()) {
     for (size_t i = 0; i < w_.nodes.size(); ++i)
-      if (w_.nodes[i]->label() == leader) node_ = i;
+      if (w_.nodes[i]->label() == leader) controller_ = i;
     next_in(0.5 * w_.chance());
     return;
   }
-  node_ = (node_ + 1) % w_.nodes.size();
+  controller_ = (controller_ + 1) % w_.nodes.size();
   next_in(1);
 }
 
@@ -323,45 +324,45 @@
     w_.checker.leaves(job, task, name);
 }
 
-void Worker::execute(const std::vector<Order>& orders, double ordered_at) {
-  for (const Order& o : orders) {
+void Worker::execute(const std::vector<WorkerCommand>& commands, double ordered_at) {
+  for (const WorkerCommand& o : commands) {
     const auto key = std::make_pair(o.job, o.task);
     auto it = tasks.find(key);
     switch (o.verb) {
-      case Verb::run: {
+      case CommandKind::start: {
         if (it != tasks.end() && it->second.attempt == o.attempt) break;
         Task t;
         t.attempt = o.attempt;
         t.ordered_at = ordered_at;
         auto j = w_.jobs.find(o.job);
         if (it != tasks.end()) {
-          if (it->second.seen != Seen::exited) break;  // in_use would hide the older one here
-          t.cause = Cause::in_use;
-          t.seen = Seen::exited;
+          if (it->second.phase != TaskPhase::exited) break;  // in_use would hide the older one here
+          t.cause = ExitCause::already_present;
+          t.phase = TaskPhase::exited;
         } else if (j == w_.jobs.end() || o.task >= j->second.spec.tasks) {
-          t.cause = Cause::no_such;
-          t.seen = Seen::exited;
+          t.cause = ExitCause::unknown_task;
+          t.phase = TaskPhase::exited;
         } else {
-          Amounts used;
+          Resources used;
           for (const auto& [k, other] : tasks)
-            if (other.seen != Seen::exited) used += w_.jobs.at(k.first).spec.each;
-          Amounts room = type.size;
+            if (other.phase != TaskPhase::exited) used += w_.jobs.at(k.first).spec.per_task;
+          Resources room = type.size;
           room -= used;
-          if (!j->second.spec.each.fits(room)) {
-            t.cause = Cause::no_room;
-            t.seen = Seen::exited;
+          if (!j->second.spec.per_task.fits_in(room)) {
+            t.cause = ExitCause::insufficient_resources;
+            t.phase = TaskPhase::exited;
           }
         }
         tasks[key] = t;
-        if (t.seen != Seen::exited) {
+        if (t.phase != TaskPhase::exited) {
           const JobSpec& spec = j->second.spec;
           const double fetch =
               images_.count(spec.image) ? 0.01 : spec.image_gb / type.fetch_gb_per_s;
           const uint64_t attempt = t.attempt;
           w_.clock.after(fetch, [this, key, attempt] {
             auto f = tasks.find(key);
-            if (gone || f == tasks.end() || f->second.attempt != attempt ||
-                f->second.seen != Seen::pulling)
+            if (terminated || f == tasks.end() || f->second.attempt != attempt ||
+                f->second.phase != TaskPhase::fetching)
               return;
             begin(key.first, key.second);
           });
@@ -369,36 +370,39 @@
         changed();
         break;
       }
-      case Verb::stop: {
-        if (it == tasks.end() || it->second.attempt != o.attempt || it->second.seen == Seen::exited)
+      case CommandKind::stop: {
+        if (it == tasks.end() || it->second.attempt != o.attempt ||
+            it->second.phase == TaskPhase::exited)
           break;
         const World::UserJob& j = w_.jobs.at(o.job);
-        const bool saves = it->second.seen == Seen::running && j.spec.checkpoint_s > 0 &&
-                           o.grace_s >= j.spec.save_s;
+        const bool saves = it->second.phase == TaskPhase::running &&
+                           j.spec.checkpoint_interval_s > 0 &&
+                           o.grace_s >= j.spec.checkpoint_duration_s;
         if (saves) {
-          it->second.seen = Seen::saving;
+          it->second.phase = TaskPhase::checkpointing;
           const uint64_t step = it->second.step = w_.new_step();
           const double made = w_.clock.now - it->second.began;
-          if (j.spec.shape == Shape::gang) w_.gang_lost(o.job, o.attempt);
-          w_.clock.after(j.spec.save_s, [this, key, step, made] {
+          if (j.spec.shape == JobShape::gang) w_.gang_lost(o.job, o.attempt);
+          w_.clock.after(j.spec.checkpoint_duration_s, [this, key, step, made] {
             auto f = tasks.find(key);
-            if (gone || f == tasks.end() || f->second.step != step) return;
+            if (terminated || f == tasks.end() || f->second.step != step) return;
             World::UserJob& job = w_.jobs.at(key.first);
             // A gang's progress is safe for all once the first has saved.
-            if (job.spec.shape != Shape::gang)
+            if (job.spec.shape != JobShape::gang)
               job.progress[key.second] += made;
             else if (job.saved_attempts.insert(f->second.attempt).second)
               for (uint32_t t = 0; t < job.spec.tasks; ++t) job.progress[t] += made;
-            leave(key.first, key.second, Cause::halted, true);
+            leave(key.first, key.second, ExitCause::stopped, true);
           });
           changed();
-        } else if (it->second.seen != Seen::saving || o.grace_s <= 0) {
-          leave(o.job, o.task, Cause::halted, false);
+        } else if (it->second.phase != TaskPhase::checkpointing || o.grace_s <= 0) {
+          leave(o.job, o.task, ExitCause::stopped, false);
         }
         break;
       }
-      case Verb::clear:
-        if (it != tasks.end() && it->second.attempt == o.attempt && it->second.seen == Seen::exited)
+      case CommandKind::forget:
+        if (it != tasks.end() && it->second.attempt == o.attempt &&
+            it->second.phase == TaskPhase::exited)
           tasks.erase(it);
         break;
     }
@@ -406,24 +410,24 @@
 }
 
 // A direct command: executed as long as token and session match, however late it comes.
-std::optional<Report> Worker::direct(uint64_t token, uint64_t session,
-                                     const std::vector<Order>& orders) {
-  if (gone || !up || w_.clock.now < deaf_until) return std::nullopt;
-  const Held h{token, session, orders, w_.sent_at()};
+std::optional<Heartbeat> Worker::direct(uint64_t fencing_token, uint64_t epoch,
+                                        const std::vector<WorkerCommand>& commands) {
+  if (terminated || !up || w_.clock.now < deaf_until) return std::nullopt;
+  const Held h{fencing_token, epoch, commands, w_.sent_at()};
   if (hung) {
     held_.push_back(h);
     return std::nullopt;
   }
   carry_out(h);
-  return make_report();
+  return make_heartbeat();
 }
 
 void Worker::carry_out(const Held& h) {
-  if (gone) return;
-  if (h.token < token_) w_.meet("command_of_earlier_leader");
-  if (h.token < token_ || h.session != session_) return;
-  token_ = h.token;
-  execute(h.orders, h.ordered_at);
+  if (terminated) return;
+  if (h.fencing_token < fencing_token_) w_.meet("command_of_earlier_leader");
+  if (h.fencing_token < fencing_token_ || h.epoch != epoch_) return;
+  fencing_token_ = h.fencing_token;
+  execute(h.commands, h.ordered_at);
 }
 
 void Worker::begin(const std::string& job, uint32_t task) {
@@ -436,71 +440,72 @@
   if (j.first_start < 0) j.first_start = w_.clock.now;
   const auto key = std::make_pair(job, task);
   const uint64_t step = t.step = w_.new_step();
-  auto later = [this, key, step](double s, Cause why) {
+  auto later = [this, key, step](double s, ExitCause why) {
     w_.clock.after(s, [this, key, step, why] {
       auto f = tasks.find(key);
-      if (gone || f == tasks.end() || f->second.step != step) return;
+      if (terminated || f == tasks.end() || f->second.step != step) return;
       leave(key.first, key.second, why, false);
     });
   };
-  if (j.spec.shape == Shape::gang && j.spec.tasks > 1 && !j.done.count(task)) {
-    t.seen = Seen::gathering;
-    later(w_.settings.gang_wait_s, Cause::alone);
+  if (j.spec.shape == JobShape::gang && j.spec.tasks > 1 && !j.done.count(task)) {
+    t.phase = TaskPhase::gang_waiting;
+    later(w_.settings.gang_wait_s, ExitCause::gang_timeout);
     w_.gathered(job, t.attempt);
   } else {
-    t.seen = Seen::running;
+    t.phase = TaskPhase::running;
     t.began = w_.clock.now;
     const double left = j.done.count(task) ? 0.01 : std::max(0.01, j.run_s - j.progress[task]);
     if (sick || j.faulty)
-      later(0.5, Cause::error);
+      later(0.5, ExitCause::error);
     else if (j.run_s > 0)
-      later(left, Cause::done);  // a service that is given no time runs until it is stopped
+      later(left, ExitCause::done);  // a service that is given no time runs until it is stopped
   }
   changed();
 }
 
 // NOLINTNEXTLINE(performance-unnecessary-value-param): callers name a key that is erased here
-void Worker::leave(std::string job, uint32_t task, Cause why, bool saved) {
+void Worker::leave(std::string job, uint32_t task, ExitCause why, bool saved) {
   auto it = tasks.find({job, task});
   if (it == tasks.end()) return;
-  const bool was_on = it->second.seen != Seen::pulling && it->second.seen != Seen::exited;
-  const bool was_running = it->second.seen == Seen::running;
+  const bool was_on =
+      it->second.phase != TaskPhase::fetching && it->second.phase != TaskPhase::exited;
+  const bool was_running = it->second.phase == TaskPhase::running;
   const uint64_t attempt = it->second.attempt;
   if (was_on) on_machine(job, task, false);
   if (was_running) w_.jobs.at(job).served_s += w_.clock.now - it->second.began;
   it->second.step = w_.new_step();
-  if (why == Cause::none) {
+  if (why == ExitCause::none) {
     tasks.erase(it);
   } else {
-    it->second.seen = Seen::exited;
+    it->second.phase = TaskPhase::exited;
     it->second.cause = why;
     it->second.saved = saved;
   }
   World::UserJob& j = w_.jobs.at(job);
-  if (why == Cause::done && j.spec.shape != Shape::service) {
+  if (why == ExitCause::done && j.spec.shape != JobShape::service) {
     const bool fresh = j.done.insert(task).second;
     w_.checker.completed(job, task);
     if (fresh && j.done.size() == j.spec.tasks) w_.ended(job);
-  } else if (was_running && j.spec.shape == Shape::gang && why != Cause::peers) {
+  } else if (was_running && j.spec.shape == JobShape::gang && why != ExitCause::gang_peer_lost) {
     w_.gang_lost(job, attempt);
   }
-  if (!gone) changed();
+  if (!terminated) changed();
 }
 
 // ---------------------------------------------------------------- node
 
-SimNode::SimNode(World& w, size_t index)
+SimController::SimController(World& w, size_t index)
     : w_(w), index_(index), label_("node-" + std::to_string(index)) {}
 
-void SimNode::boot() {
+void SimController::boot() {
   alive = true;
   ++life_;
-  mirror_ = Mirror();
+  ledger_cache_ = LedgerCache();
   revision_ = 0;
   loaded_ = campaigning_ = committing_ = cloud_busy_ = false;
-  core_.reset();
-  token_ = lease_ = 0;
-  rest_until_ = 0;
+  scheduler_.reset();
+  fencing_token_ = lease_ = 0;
+  cooldown_until_ = 0;
   heard_state_ = -1e9;
   next_list_ = next_renewal_ = 0;
   waiting_.clear();
@@ -521,10 +526,10 @@
   mesh();
 }
 
-void SimNode::freeze(double s) { still_until = w_.clock.now + s; }
+void SimController::freeze(double s) { still_until = w_.clock.now + s; }
 
 // Its own timers fire when it wakes.
-void SimNode::later(double s, void (SimNode::*loop)()) {
+void SimController::later(double s, void (SimController::*loop)()) {
   w_.clock.at(std::max(w_.clock.now + s, still_until + 0.001), [this, life = life_, loop] {
     if (life != life_) return;
     if (w_.clock.now < still_until) return later(0, loop);
@@ -532,41 +537,44 @@
   });
 }
 
-// As the daemon's (Node::notice_stall, Node::lease_confirmed).
-bool SimNode::lease_confirmed() {
+// As the daemon's (Controller::notice_stall, Controller::lease_confirmed).
+bool SimController::lease_confirmed() {
   const double still = lease_clock_.stall(w_.clock.now);
   if (still > 0) {
-    if (core_) core_->slept(still, w_.clock.now);
+    if (scheduler_) scheduler_->on_process_stall(still, w_.clock.now);
     heard_sibling_ = w_.clock.now;
   }
-  return core_ && lease_clock_.lease_confirmed(w_.clock.now, kLeaseTtl);
+  return scheduler_ && lease_clock_.lease_confirmed(w_.clock.now, kLeaseTtl);
 }
 
-void SimNode::stall_check() {
+void SimController::stall_check() {
   lease_confirmed();
-  later(0.25, &SimNode::stall_check);
+  later(0.25, &SimController::stall_check);
 }
 
-// As the daemon's (Node::acts): leads without doubt.
-bool SimNode::acts() { return lease_confirmed() && lease_clock_.runs(w_.clock.now, kLeaseTtl); }
+// As the daemon's (Controller::acts): leads without doubt.
+bool SimController::may_decide() {
+  return lease_confirmed() && lease_clock_.runs(w_.clock.now, kLeaseTtl);
+}
 
-uint64_t SimNode::known_token() const {
-  return std::max(
-      {highest_token_, token_, mirror_.leader().empty() ? 0 : mirror_.leader_version()});
+uint64_t SimController::known_token() const {
+  return std::max({highest_token_, fencing_token_,
+                   ledger_cache_.leader().empty() ? 0 : ledger_cache_.leader_version()});
 }
 
-// What siblings tell one another of leaders and cancellations (Node::view, Node::on_peer_view).
-void SimNode::mesh() {
+// What siblings tell one another of leaders and cancellations (Controller::view,
+// Controller::on_peer_view).
+void SimController::mesh() {
   struct View {
     std::string incarnation;
-    uint64_t token = 0, read_to = 0;
+    uint64_t fencing_token = 0, read_to = 0;
   };
   const uint64_t life = life_;
   const double sent = w_.clock.now;
   for (size_t i = 0; i < w_.nodes.size(); ++i) {
     if (i == index_) continue;
     auto view = std::make_shared<View>();
-    SimNode* other = w_.nodes[i].get();
+    SimController* other = w_.nodes[i].get();
     w_.call(
         "n" + std::to_string(index_), "n" + std::to_string(i), 0.5,
         [view, other] {
@@ -577,54 +585,61 @@
           if (!ok || life != life_) return;
           heard_sibling_ = w_.clock.now;
           known_cancellations_.read_to(view->read_to);
-          highest_token_ = std::max(highest_token_, view->token);
-          if (core_ && view->token > token_) step_down("a sibling knows a higher token");
-          cancellation_staleness_.vouched(other->label_, view->incarnation, view->token, token_,
-                                          sent, w_.clock.now);
+          highest_token_ = std::max(highest_token_, view->fencing_token);
+          if (scheduler_ && view->fencing_token > fencing_token_)
+            step_down("a sibling knows a higher token");
+          cancellation_staleness_.on_sibling_answer(other->label_, view->incarnation,
+                                                    view->fencing_token, fencing_token_, sent,
+                                                    w_.clock.now);
         });
   }
-  later(1, &SimNode::mesh);
+  later(1, &SimController::mesh);
 }
 
-// As Node::take_cancelled.
-uint64_t SimNode::take_cancelled(uint64_t token, const std::string& id, const MirrorJob& job) {
-  if (core_ && token > token_) step_down("a sibling knows a newer leader");
-  if (!core_ || core_->lost() || !lease_confirmed()) return 0;
+// As Controller::take_cancelled.
+uint64_t SimController::on_cancellations(uint64_t fencing_token, const std::string& id,
+                                         const CachedJob& job) {
+  if (scheduler_ && fencing_token > fencing_token_) step_down("a sibling knows a newer leader");
+  if (!scheduler_ || scheduler_->has_lost_leadership() || !lease_confirmed()) return 0;
   put_job(id, ledger::encode(job.row), job.version);
-  return token_;
+  return fencing_token_;
 }
 
-void SimNode::put_job(const std::string& id, const nlohmann::json& value, uint64_t version) {
-  mirror_.put(ledger::job_key(id), value, version);
-  if (core_) core_->on_job_row(*mirror_.job(id), id, w_.clock.now);
+void SimController::put_job(const std::string& id, const nlohmann::json& value, uint64_t version) {
+  ledger_cache_.put(ledger::job_key(id), value, version);
+  if (scheduler_) scheduler_->on_job_row(*ledger_cache_.job(id), id, w_.clock.now);
 }
 
-// As Node::may_say_aborted.
-void SimNode::may_say_aborted(const std::string& id, uint64_t leader,
-                              const std::function<void(bool)>& then) {
-  const MirrorJob* j = mirror_.job(id);
-  if (!j || j->row.standing != ledger::Standing::aborted) return then(false);
+// As Controller::may_say_aborted.
+void SimController::may_confirm_cancelled(const std::string& id, uint64_t leader,
+                                          const std::function<void(bool)>& then) {
+  const CachedJob* j = ledger_cache_.job(id);
+  if (!j || j->row.status != ledger::JobStatus::cancelled) return then(false);
   const uint64_t version = j->version;
   if (known_cancellations_.has(id, version)) return then(true);
-  if (core_) {
-    const bool ours = !core_->lost() && lease_confirmed() && token_ >= known_token();
+  if (scheduler_) {
+    const bool ours =
+        !scheduler_->has_lost_leadership() && lease_confirmed() && fencing_token_ >= known_token();
     if (ours) known_cancellations_.acknowledge(id, version);
     return then(ours);
   }
-  const uint64_t token = mirror_.leader().empty() ? 0 : mirror_.leader_version();
-  const bool placed = leader > 0 ? leader <= token : revision_ >= version;
+  const uint64_t fencing_token =
+      ledger_cache_.leader().empty() ? 0 : ledger_cache_.leader_version();
+  const bool placed = leader > 0 ? leader <= fencing_token : revision_ >= version;
   size_t to = w_.nodes.size();
   for (size_t i = 0; i < w_.nodes.size(); ++i)
-    if (w_.nodes[i]->label_ == mirror_.leader()) to = i;
-  if (token == 0 || !placed || to == w_.nodes.size()) return then(false);
+    if (w_.nodes[i]->label_ == ledger_cache_.leader()) to = i;
+  if (fencing_token == 0 || !placed || to == w_.nodes.size()) return then(false);
   auto got = std::make_shared<uint64_t>(0);
-  const MirrorJob row = *j;
+  const CachedJob row = *j;
   w_.call(
       "n" + std::to_string(index_), "n" + std::to_string(to), 1,
-      [this, to, token, id, row, got] { *got = w_.nodes[to]->take_cancelled(token, id, row); },
-      [this, life = life_, token, id, version, got, then](bool ok) {
+      [this, to, fencing_token, id, row, got] {
+        *got = w_.nodes[to]->on_cancellations(fencing_token, id, row);
+      },
+      [this, life = life_, fencing_token, id, version, got, then](bool ok) {
         if (life != life_) return;
-        if (ok && *got >= token) {
+        if (ok && *got >= fencing_token) {
           highest_token_ = std::max(highest_token_, *got);
           known_cancellations_.acknowledge(id, version);
         }
@@ -632,20 +647,20 @@
       });
 }
 
-void SimNode::crash() {
+void SimController::crash() {
   alive = false;
   ++life_;
-  core_.reset();
+  scheduler_.reset();
   waiting_.clear();
 }
 
-void SimNode::step_down(const std::string&, double rest) {
-  core_.reset();
-  token_ = 0;
-  if (rest > 0) rest_until_ = w_.clock.now + rest;
+void SimController::step_down(const std::string&, double rest) {
+  scheduler_.reset();
+  fencing_token_ = 0;
+  if (rest > 0) cooldown_until_ = w_.clock.now + rest;
 }
 
-void SimNode::watch() {
+void SimController::watch() {
   const uint64_t life = life_;
   auto events = std::make_shared<std::vector<Store::Event>>();
   auto rev = std::make_shared<uint64_t>(0);
@@ -668,37 +683,37 @@
         if (good) {
           for (const Store::Event& e : *events) {
             if (e.erased) {
-              mirror_.erase(e.key, e.version);
+              ledger_cache_.erase(e.key, e.version);
               continue;
             }
-            mirror_.put(e.key, e.value, e.version);
+            ledger_cache_.put(e.key, e.value, e.version);
             const std::string prefix = ledger::kJobPrefix;
-            if (core_ && e.key.rfind(prefix, 0) == 0) {
+            if (scheduler_ && e.key.rfind(prefix, 0) == 0) {
               const std::string id = e.key.substr(prefix.size());
-              core_->on_job_row(*mirror_.job(id), id, w_.clock.now);
+              scheduler_->on_job_row(*ledger_cache_.job(id), id, w_.clock.now);
             }
           }
           revision_ = std::max(revision_, *rev);
           heard_state_ = w_.clock.now;
           loaded_ = true;
           cancellation_staleness_.proven(sent);
-          if (!mirror_.leader().empty())
-            highest_token_ = std::max(highest_token_, mirror_.leader_version());
-          if (core_ && mirror_.leader_version() > token_) step_down("not ours");
-          if (core_) known_cancellations_.read_to(revision_);
+          if (!ledger_cache_.leader().empty())
+            highest_token_ = std::max(highest_token_, ledger_cache_.leader_version());
+          if (scheduler_ && ledger_cache_.leader_version() > fencing_token_) step_down("not ours");
+          if (scheduler_) known_cancellations_.read_to(revision_);
         }
         for (auto& f : *asked) f(good);
         if (life != life_) return;
-        later(core_ || !waiting_.empty() ? 0.1 : 0.4, &SimNode::watch);
+        later(scheduler_ || !waiting_.empty() ? 0.1 : 0.4, &SimController::watch);
       });
 }
 
-void SimNode::barrier(std::function<void(bool)> then) { waiting_.push_back(std::move(then)); }
+void SimController::barrier(std::function<void(bool)> then) { waiting_.push_back(std::move(then)); }
 
-void SimNode::lead() {
+void SimController::lead() {
   const uint64_t life = life_;
   const double now = w_.clock.now;
-  if (core_) {
+  if (scheduler_) {
     if (now >= next_renewal_) {
       next_renewal_ = now + kLeaseTtl / 3;
       const uint64_t lease = lease_;
@@ -712,83 +727,84 @@
             if (life != life_) return;
             lease_confirmed();
             lease_clock_.asked(now);
-            if (!core_ || lease != lease_ || !ok) return;
+            if (!scheduler_ || lease != lease_ || !ok) return;
             if (*kept == 1) {
               lease_clock_.kept(now);
               cancellation_staleness_.proven(now);
             }
-            if (w_.clock.now - lease_clock_.kept_at() > kMaxDoubt)
+            if (w_.clock.now - lease_clock_.kept_at() > kMaxUnconfirmed)
               return step_down("in doubt for long");
             if (*kept == 2) step_down("lease ended");
           });
     }
-  } else if (!campaigning_ && loaded_ && now >= rest_until_ && mirror_.leader().empty() &&
+  } else if (!campaigning_ && loaded_ && now >= cooldown_until_ && ledger_cache_.leader().empty() &&
              now - heard_state_ < 2) {
     campaigning_ = true;
-    auto token = std::make_shared<uint64_t>(0);
+    auto fencing_token = std::make_shared<uint64_t>(0);
     auto lease = std::make_shared<uint64_t>(0);
-    w_.clock.after(0.3 * w_.chance(), [this, life, token, lease, now] {
+    w_.clock.after(0.3 * w_.chance(), [this, life, fencing_token, lease, now] {
       if (life != life_) return;
       w_.call(
           "n" + std::to_string(index_), "state", 0.8,
-          [this, token, lease] {
-            if (w_.store.outage || *token) return;
+          [this, fencing_token, lease] {
+            if (w_.store.outage || *fencing_token) return;
             *lease = w_.store.grant(kLeaseTtl);
             ledger::Transaction t;
             t.conditions = {{ledger::kLeaderKey, 0}};
             t.changes = {{ledger::kLeaderKey, false, {{"label", label_}}, *lease}};
             const auto r = w_.store.commit(t);
-            if (r.outcome == Outcome::applied) *token = r.revision;
+            if (r.outcome == Outcome::applied) *fencing_token = r.revision;
           },
-          [this, life, token, lease, now](bool ok) {
+          [this, life, fencing_token, lease, now](bool ok) {
             if (life != life_) return;
-            if (!ok || !*token) {
+            if (!ok || !*fencing_token) {
               campaigning_ = false;
               return;
             }
-            barrier([this, life, token, lease, now](bool good) {
+            barrier([this, life, fencing_token, lease, now](bool good) {
               if (life != life_) return;
               campaigning_ = false;
-              if (!good || mirror_.leader_version() != *token) return;
+              if (!good || ledger_cache_.leader_version() != *fencing_token) return;
               lease_confirmed();
               if (w_.clock.now - now > kLeaseTtl * LeaseClock::kDrift) return;  // too late
-              token_ = *token;
+              fencing_token_ = *fencing_token;
               lease_ = *lease;
               lease_clock_.kept(now);
               next_renewal_ = 0;
-              core_ = std::make_unique<Core>(w_.settings, w_.types, token_, w_.clock.now);
-              core_->set_day_offset(0);
-              core_->load(mirror_, w_.clock.now);
+              scheduler_ =
+                  std::make_unique<Scheduler>(w_.settings, w_.types, fencing_token_, w_.clock.now);
+              scheduler_->set_day_offset(0);
+              scheduler_->load(ledger_cache_, w_.clock.now);
               w_.leader_begins();
             });
           });
     });
   }
-  later(0.1, &SimNode::lead);
+  later(0.1, &SimController::lead);
 }
 
-void SimNode::round() {
-  if (core_ && core_->lost()) step_down("lost");
-  if (acts()) {
-    if (core_->receives_no_reports(w_.clock.now))
+void SimController::round() {
+  if (scheduler_ && scheduler_->has_lost_leadership()) step_down("lost");
+  if (may_decide()) {
+    if (scheduler_->receives_no_heartbeats(w_.clock.now))
       step_down("deaf", 12);
     else
-      core_->round(w_.clock.now);
+      scheduler_->round(w_.clock.now);
   } else if (lease_confirmed()) {
-    core_->watch_cancelled(w_.clock.now);
+    scheduler_->release_cancelled_work(w_.clock.now);
   }
   commit();
   direct();
   cloud();
-  later(0.2, &SimNode::round);
+  later(0.2, &SimController::round);
 }
 
-void SimNode::commit() {
-  if (!acts() || committing_) return;
-  auto p = core_->next_transaction(w_.clock.now);
+void SimController::commit() {
+  if (!may_decide() || committing_) return;
+  auto p = scheduler_->next_transaction(w_.clock.now);
   if (!p) return;
   committing_ = true;
-  const uint64_t life = life_, token = token_;
+  const uint64_t life = life_, fencing_token = fencing_token_;
   auto result = std::make_shared<ledger::Result>();
   auto answered = std::make_shared<bool>(false);
   w_.call(
@@ -799,7 +815,7 @@
           for (const ledger::Change& c : p->txn.changes) {
             if (c.erase) continue;
             if (const Store::Entry* e = w_.store.get(c.key);
-                e && e->value.value("w", "") == p->txn.mark) {
+                e && e->value.value("w", "") == p->txn.transaction_id) {
               r.outcome = Outcome::applied;
               r.revision = e->version;
             }
@@ -808,73 +824,73 @@
         if (!*answered) *result = r;
         *answered = true;
       },
-      [this, p, result, life, token](bool ok) {
+      [this, p, result, life, fencing_token](bool ok) {
         if (life != life_) return;
         committing_ = false;
-        if (!core_ || token != token_) return;
+        if (!scheduler_ || fencing_token != fencing_token_) return;
         if (!ok) *result = ledger::Result{};
-        core_->on_result(p->id, *result, w_.clock.now);
+        scheduler_->on_result(p->id, *result, w_.clock.now);
         commit();
       });
 }
 
-void SimNode::direct() {
-  if (!acts()) return;
-  while (auto d = core_->next_direct_command(w_.clock.now)) {
-    const uint64_t life = life_, token = token_;
+void SimController::direct() {
+  if (!may_decide()) return;
+  while (auto d = scheduler_->next_direct_command(w_.clock.now)) {
+    const uint64_t life = life_, fencing_token = fencing_token_;
     const std::string name = d->addr.substr(std::string("worker-").size());
-    auto answer = std::make_shared<std::optional<Report>>();
+    auto answer = std::make_shared<std::optional<Heartbeat>>();
     w_.call(
         "n" + std::to_string(index_), name, 1,
-        [this, d, name, token, answer] {
+        [this, d, name, fencing_token, answer] {
           Worker& m = *w_.workers.at(name);
-          auto r = m.direct(token, d->session, d->orders);
+          auto r = m.direct(fencing_token, d->epoch, d->commands);
           if (!*answer) *answer = r;
         },
-        [this, d, life, token, answer](bool ok) {
-          if (life == life_ && core_ && token == token_)
-            core_->on_direct_command_result(*d, ok && *answer, ok ? *answer : std::nullopt,
-                                            w_.clock.now);
+        [this, d, life, fencing_token, answer](bool ok) {
+          if (life == life_ && scheduler_ && fencing_token == fencing_token_)
+            scheduler_->on_direct_command_result(*d, ok && *answer, ok ? *answer : std::nullopt,
+                                                 w_.clock.now);
         });
   }
 }
 
-void SimNode::cloud() {
+void SimController::cloud() {
   if (!lease_confirmed() || cloud_busy_) return;
-  const uint64_t life = life_, token = token_;
+  const uint64_t life = life_, fencing_token = fencing_token_;
   const double now = w_.clock.now;
   const std::string me = "n" + std::to_string(index_);
   auto done = [this, life] {
     if (life == life_) cloud_busy_ = false;
   };
-  const bool doubtful = !acts();
-  if (auto names = core_->next_return(now, doubtful); !names.empty()) {
+  const bool doubtful = !may_decide();
+  if (auto names = scheduler_->next_return(now, doubtful); !names.empty()) {
     cloud_busy_ = true;
     auto o = std::make_shared<CloudOutcome>(CloudOutcome::refused);
     w_.call(
         me, "cloud", 3,
         [this, names, o] {
           if (w_.cloud_outage) return;
-          w_.give_back(names);
+          w_.return_machines(names);
           *o = CloudOutcome::done;
         },
-        [this, names, o, done, life, token](bool ok) {
+        [this, names, o, done, life, fencing_token](bool ok) {
           done();
-          if (life == life_ && core_ && token == token_)
-            core_->on_return(names, ok ? *o : CloudOutcome::unknown, w_.clock.now);
+          if (life == life_ && scheduler_ && fencing_token == fencing_token_)
+            scheduler_->on_return(names, ok ? *o : CloudOutcome::unknown, w_.clock.now);
         });
   } else if (doubtful) {
     return;
-  } else if (auto h = core_->next_rental_request(now)) {
+  } else if (auto h = scheduler_->next_rental_request(now)) {
     cloud_busy_ = true;
     auto a = std::make_shared<World::RentalAnswer>();
     w_.call(
         me, "cloud", 3, [this, h, a] { *a = w_.rent(*h); },
-        [this, h, a, done, life, token](bool ok) {
+        [this, h, a, done, life, fencing_token](bool ok) {
           done();
-          if (life == life_ && core_ && token == token_)
-            core_->on_rental_result(*h, ok ? a->outcome : CloudOutcome::unknown, a->names,
-                                    w_.clock.now);
+          if (life == life_ && scheduler_ && fencing_token == fencing_token_)
+            scheduler_->on_rental_result(*h, ok ? a->outcome : CloudOutcome::unknown, a->names,
+                                         w_.clock.now);
         });
   } else if (now >= next_list_) {
     cloud_busy_ = true;
@@ -882,45 +898,47 @@
     auto l = std::make_shared<std::vector<ListedMachine>>();
     w_.call(
         me, "cloud", 3, [this, l] { *l = w_.list(); },
-        [this, l, done, life, token, now](bool ok) {
+        [this, l, done, life, fencing_token, now](bool ok) {
           done();
-          if (ok && !w_.cloud_outage && life == life_ && core_ && token == token_)
-            core_->on_machine_list(*l, now, w_.clock.now);
+          if (ok && !w_.cloud_outage && life == life_ && scheduler_ &&
+              fencing_token == fencing_token_)
+            scheduler_->on_machine_list(*l, now, w_.clock.now);
         });
   }
 }
 
-SimNode::ReportAnswer SimNode::on_report(const Report& r) {
-  ReportAnswer a;
+SimController::HeartbeatAnswer SimController::on_heartbeat(const Heartbeat& r) {
+  HeartbeatAnswer a;
   // As the daemon: one that hears neither siblings nor the state service lets its workers go.
-  if (core_ && w_.nodes.size() > 1 && w_.clock.now - heard_sibling_ > 5 &&
+  if (scheduler_ && w_.nodes.size() > 1 && w_.clock.now - heard_sibling_ > 5 &&
       w_.clock.now - heard_state_ > 5)
     return a;
-  if (core_ && !lease_confirmed())
+  if (scheduler_ && !lease_confirmed())
     return a;  // 503: it slept, and does not know yet whether it still leads
-  if (core_ && w_.clock.now - cancellation_staleness_.at() >
-                   staleness_limit(w_.settings.cancel_s, w_.settings.lease_s))
+  if (scheduler_ && w_.clock.now - cancellation_staleness_.at() >
+                        staleness_limit(w_.settings.cancel_s, w_.settings.lease_s))
     return a;  // jobs may have been cancelled unheard
-  if (core_)
-    core_->allow_starts(lease_clock_.runs(w_.clock.now, kLeaseTtl) ||
-                        w_.clock.now - cancellation_staleness_.at() < kMaxStaleness);
-  if (core_ && !core_->lost()) {
-    const ReportReply out = core_->on_report(r, w_.clock.now);
-    if (out.verdict != ReportReply::Verdict::deposed) {
+  if (scheduler_)
+    scheduler_->allow_starts(lease_clock_.runs(w_.clock.now, kLeaseTtl) ||
+                             w_.clock.now - cancellation_staleness_.at() < kMaxStaleness);
+  if (scheduler_ && !scheduler_->has_lost_leadership()) {
+    const HeartbeatReply out = scheduler_->on_heartbeat(r, w_.clock.now);
+    if (out.verdict != HeartbeatReply::Verdict::deposed) {
       a.status = 200;
-      a.token = token_;
-      a.orders = out.orders;
+      a.fencing_token = fencing_token_;
+      a.commands = out.commands;
       return a;
     }
     step_down("deposed");
   }
   a.status = 421;
-  if (w_.clock.now - heard_state_ < 1.5 && mirror_.leader() != label_) a.leader = mirror_.leader();
+  if (w_.clock.now - heard_state_ < 1.5 && ledger_cache_.leader() != label_)
+    a.leader = ledger_cache_.leader();
   return a;
 }
 
-void SimNode::settle(const ledger::Transaction& t, bool repeat, int tries,
-                     const std::function<void(std::optional<ledger::Result>)>& then) {
+void SimController::settle(const ledger::Transaction& t, bool repeat, int tries,
+                           const std::function<void(std::optional<ledger::Result>)>& then) {
   const uint64_t life = life_;
   auto result = std::make_shared<ledger::Result>();
   w_.call(
@@ -929,7 +947,7 @@
         *result = w_.store.commit(t);
         const Store::Entry* e = w_.store.get(t.changes[0].key);
         if (repeat && result->outcome == Outcome::conflict && e &&
-            e->value.value("w", "") == t.mark) {
+            e->value.value("w", "") == t.transaction_id) {
           result->outcome = Outcome::applied;
           result->revision = e->version;
         }
@@ -946,18 +964,18 @@
       });
 }
 
-void SimNode::user(const std::string& verb, const JobSpec& spec,
-                   const std::function<void(const std::string&)>& reply) {
+void SimController::user(const std::string& verb, const JobSpec& spec,
+                         const std::function<void(const std::string&)>& reply) {
   const std::string id = spec.id;
   auto state = [this, id]() -> std::string {
-    const auto a = mirror_.answer(id);
+    const auto a = ledger_cache_.answer(id);
     if (!a) return "404";
-    if (a->standing == ledger::Standing::done) return "done";
-    if (a->standing == ledger::Standing::aborted) return "aborted";
+    if (a->status == ledger::JobStatus::done) return "done";
+    if (a->status == ledger::JobStatus::cancelled) return "aborted";
     return a->running ? "running" : "pending";
   };
   auto aborted = [this, id, reply](uint64_t leader) {
-    may_say_aborted(id, leader, [reply](bool may) { reply(may ? "aborted" : ""); });
+    may_confirm_cancelled(id, leader, [reply](bool may) { reply(may ? "aborted" : ""); });
   };
   const std::string cached = state();
   if (cached == "done") return reply(cached);
@@ -972,29 +990,30 @@
     if (verb == "poll" || s == "done") return reply(s);
     uint64_t leader = 0;
     ledger::Transaction t;
-    t.mark = label_ + "." + std::to_string(life_) + "." + std::to_string(++marks_);
+    t.transaction_id =
+        label_ + "." + std::to_string(life_) + "." + std::to_string(++transaction_count_);
     ledger::JobRow row;
-    row.mark = t.mark;
+    row.transaction_id = t.transaction_id;
     if (verb == "submit") {
       if (s != "404") return reply(s);
       row.tasks = spec.tasks;
-      row.per = ledger::tasks_per_chunk(w_.clock.now < w_.old_rows_until
-                                            ? w_.settings.value_bytes
-                                            : w_.settings.lasting_value_bytes());
-      row.at_s = w_.clock.now;
+      row.chunk_size = ledger::tasks_per_chunk(w_.clock.now < w_.old_rows_until
+                                                   ? w_.settings.value_bytes
+                                                   : w_.settings.lasting_value_bytes());
+      row.timestamp_s = w_.clock.now;
       row.spec = spec;
       t.conditions = {{ledger::job_key(id), 0}};
     } else {
-      const MirrorJob* j = mirror_.job(id);
+      const CachedJob* j = ledger_cache_.job(id);
       if (!j) return reply("404");
-      row.standing = ledger::Standing::aborted;
+      row.status = ledger::JobStatus::cancelled;
       row.tasks = j->row.tasks;
-      row.per = j->row.per;
+      row.chunk_size = j->row.chunk_size;
       row.spec = j->row.spec;
-      row.at_s = w_.clock.now;
+      row.timestamp_s = w_.clock.now;
       t.conditions = {{ledger::job_key(id), j->version}};
-      if (!mirror_.leader().empty()) {
-        leader = mirror_.leader_version();
+      if (!ledger_cache_.leader().empty()) {
+        leader = ledger_cache_.leader_version();
         t.conditions.push_back({ledger::kLeaderKey, leader});
       }
     }
@@ -1012,7 +1031,7 @@
 
 // ---------------------------------------------------------------- world
 
-World::World(Settings s, std::vector<TypeInfo> t, size_t n, uint64_t seed)
+World::World(Settings s, std::vector<MachineType> t, size_t n, uint64_t seed)
     : store(clock),
       settings(std::move(s)),
       types(std::move(t)),
@@ -1028,8 +1047,8 @@
     if (lost) meet("answer_lost");
     return lost;
   };
-  for (size_t i = 0; i < n; ++i) nodes.push_back(std::make_unique<SimNode>(*this, i));
-  for (const TypeInfo& ti : types)
+  for (size_t i = 0; i < n; ++i) nodes.push_back(std::make_unique<SimController>(*this, i));
+  for (const MachineType& ti : types)
     for (const std::string& z : ti.zones) {
       capacity[{z, false}] = 100;
       capacity[{z, true}] = 100;
@@ -1054,11 +1073,11 @@
   std::vector<Room> rooms;
   std::map<std::string, size_t> held;
   for (const auto& [n, w] : workers) {
-    if (w->gone || !w->up) continue;
-    Amounts free = w->type.size;
+    if (w->terminated || !w->up) continue;
+    Resources free = w->type.size;
     for (const auto& [k, t] : w->tasks) {
-      if (t.seen == Seen::exited) continue;
-      free -= jobs.at(k.first).spec.each;
+      if (t.phase == TaskPhase::exited) continue;
+      free -= jobs.at(k.first).spec.per_task;
       ++held[k.first];
     }
     // One that hangs, fails its tasks or is about to be taken has no room for anybody.
@@ -1102,7 +1121,7 @@
   const bool to_state = to == "state";
   const auto serve = [this, served, from, to_state, sent = clock.now] {
     sent_at_ = sent;
-    store.unanswered = false;
+    store.unanswered_starts = false;
     // One that is refused alone sees what all see in an outage: its request is not carried out.
     auto refused = refused_.find(from);
     const bool refuses = to_state && refused != refused_.end() && clock.now < refused->second;
@@ -1140,7 +1159,7 @@
   const auto answer = [this, from, to, to_state, serve, finish, there, back] {
     if (!there()) return;
     serve();
-    if (to_state && store.unanswered) return;
+    if (to_state && store.unanswered_starts) return;
     if (cut_between(from, to) || chance() < lose) return;  // the answer is lost
     clock.after(back, [finish] { finish(true); });
   };
@@ -1182,8 +1201,8 @@
   }
   room -= n;
   ++rentals;
-  const TypeInfo* type = nullptr;
-  for (const TypeInfo& t : types)
+  const MachineType* type = nullptr;
+  for (const MachineType& t : types)
     if (t.name == h.type) type = &t;
   for (int i = 0; i < n; ++i) {
     std::array<char, 16> digits{};
@@ -1202,10 +1221,10 @@
   return a;
 }
 
-void World::give_back(const std::vector<std::string>& names) {
+void World::return_machines(const std::vector<std::string>& names) {
   for (const std::string& n : names) {
     auto it = workers.find(n);
-    if (it == workers.end() || it->second->gone) continue;
+    if (it == workers.end() || it->second->terminated) continue;
     ++returns;
     it->second->vanish();
     ++capacity[{it->second->zone, it->second->spot}];
@@ -1215,7 +1234,7 @@
 std::vector<ListedMachine> World::list() const {
   std::vector<ListedMachine> out;
   for (const auto& [n, w] : workers) {
-    if (w->gone || clock.now - w->rented_at < settings.list_lag_s) continue;
+    if (w->terminated || clock.now - w->rented_at < settings.list_lag_s) continue;
     out.push_back({n, "worker-" + n, w->type.name, w->zone, w->spot,
                    w->up ? ListedMachine::State::running : ListedMachine::State::booting,
                    clock.now - w->rented_at});
@@ -1224,24 +1243,25 @@
 }
 
 size_t World::machines_up() const {
-  return static_cast<size_t>(
-      std::count_if(workers.begin(), workers.end(), [](const auto& w) { return !w.second->gone; }));
+  return static_cast<size_t>(std::count_if(workers.begin(), workers.end(),
+                                           [](const auto& w) { return !w.second->terminated; }));
 }
 
-SimNode* World::leader() {
-  SimNode* best = nullptr;
+SimController* World::leader() {
+  SimController* best = nullptr;
   for (auto& n : nodes)
-    if (n->alive && n->leading() && (!best || n->token() > best->token())) best = n.get();
+    if (n->alive && n->leading() && (!best || n->fencing_token() > best->fencing_token()))
+      best = n.get();
   return best;
 }
 
 double World::awake_at(const std::string& place) const {
   if (place[0] != 'n' || place.size() > 3) return clock.now;
-  const SimNode& n = *nodes[std::stoul(place.substr(1))];
+  const SimController& n = *nodes[std::stoul(place.substr(1))];
   return n.alive && n.still_until > clock.now ? n.still_until + 0.001 : clock.now;
 }
 
-SimNode* World::any_node(size_t& index) {
+SimController* World::any_node(size_t& index) {
   for (int i = 0; i < 8; ++i) {
     index = random() % nodes.size();
     if (nodes[index]->alive) return nodes[index].get();
@@ -1262,7 +1282,7 @@
 
 void World::try_submit(const std::string& id, double started) {
   size_t i = 0;
-  SimNode* n = any_node(i);
+  SimController* n = any_node(i);
   auto again = [this, id, started] {
     if (clock.now - started < 60) clock.after(1, [this, id, started] { try_submit(id, started); });
   };
@@ -1276,10 +1296,10 @@
       });
 }
 
-// Node-side work is asynchronous, so the answer is awaited here rather than by call().
-void World::ask(size_t node, const std::string& verb, const JobSpec& spec, double patience,
+// Controller-side work is asynchronous, so the answer is awaited here rather than by call().
+void World::ask(size_t controller, const std::string& verb, const JobSpec& spec, double patience,
                 const Hears& hears) {
-  SimNode* n = nodes[node].get();
+  SimController* n = nodes[controller].get();
   auto settled = std::make_shared<bool>(false);
   const double asked = clock.now;
   auto settle = [settled, hears](const std::string& a, const Asked& when) {
@@ -1287,19 +1307,19 @@
     hears(a, when);
   };
   clock.after(patience, [settle] { settle("", {}); });
-  auto give = [this, settle, asked, node](const std::string& a) {
-    const Asked when{asked, clock.now, static_cast<int>(node)};
+  auto give = [this, settle, asked, controller](const std::string& a) {
+    const Asked when{asked, clock.now, static_cast<int>(controller)};
     const double back = kWire + (slow > 0 && chance() < slow ? 2.5 * chance() : 0);
     clock.after(back, [settle, a, when] { settle(a, when); });
   };
   call(
-      "users", "n" + std::to_string(node), patience,
+      "users", "n" + std::to_string(controller), patience,
       [n, verb, spec, give] { n->user(verb, spec, give); }, [](bool) {});
 }
 
 void World::poll(const std::string& id) {
   size_t i = 0;
-  SimNode* n = any_node(i);
+  SimController* n = any_node(i);
   auto got = [this, id](const std::string& a, const Asked& when) {
     if (a.empty()) {
       checker.poll_failed(clock.now, id, clock.now - last_answer < 10);
@@ -1325,7 +1345,7 @@
 
 void World::try_abort(const std::string& id) {
   size_t i = 0;
-  SimNode* n = any_node(i);
+  SimController* n = any_node(i);
   auto got = [this, id](const std::string& a, const Asked& when) {
     if (a != "aborted" && a != "done") {
       clock.after(1, [this, id] { try_abort(id); });
@@ -1345,7 +1365,7 @@
   for (auto& [n, w] : workers)
     for (auto& [k, t] : w->tasks) {
       const UserJob& j = jobs.at(k.first);
-      if (t.seen != Seen::running || j.abort_asked) continue;
+      if (t.phase != TaskPhase::running || j.abort_asked) continue;
       auto progress = j.progress.find(k.second);
       const double made = progress == j.progress.end() ? 0 : progress->second;
       double& most = left[k.first];
@@ -1405,8 +1425,8 @@
   if (any_node(i)) ask_node(i, verb, spec);
 }
 
-void World::ask_node(size_t node, const std::string& verb, const JobSpec& spec) {
-  ask(node, verb, spec, verb == "poll" ? kPollPatience : kPatience,
+void World::ask_node(size_t controller, const std::string& verb, const JobSpec& spec) {
+  ask(controller, verb, spec, verb == "poll" ? kPollPatience : kPatience,
       [this, verb, id = spec.id](const std::string& a, const Asked& when) {
         if (!a.empty()) heard(id, a, verb == "abort", when);
       });
@@ -1438,7 +1458,7 @@
   if (at_limit(j.spec.team)) meet("team_at_its_limit");
   for (const auto& [name, w] : workers)
     for (const auto& [k, t] : w->tasks) {
-      if (k.first != j.spec.id || t.seen == Seen::exited) continue;
+      if (k.first != j.spec.id || t.phase == TaskPhase::exited) continue;
       if (w->hung) meet("cancelled_on_hung_machine");
       for (size_t i = 0; i < nodes.size(); ++i)
         if (nodes[i]->leading() && cut_between("n" + std::to_string(i), name))
@@ -1448,17 +1468,17 @@
 
 // Whether one more task like the smallest that its jobs have would be over the team's limit.
 bool World::at_limit(const std::string& name) const {
-  Amounts used, least{1e9, 1e9, 1e9};
+  Resources used, least{1e9, 1e9, 1e9};
   for (const auto& [id, j] : jobs) {
     if (j.spec.team != name) continue;
-    least.cpus = std::min(least.cpus, j.spec.each.cpus);
-    least.gpus = std::min(least.gpus, j.spec.each.gpus);
+    least.cpus = std::min(least.cpus, j.spec.per_task.cpus);
+    least.gpus = std::min(least.gpus, j.spec.per_task.gpus);
   }
   for (const auto& [n, w] : workers)
     for (const auto& [k, t] : w->tasks)
-      if (t.seen != Seen::exited && jobs.at(k.first).spec.team == name)
-        used += jobs.at(k.first).spec.each;
-  for (const TeamInfo& t : settings.teams)
+      if (t.phase != TaskPhase::exited && jobs.at(k.first).spec.team == name)
+        used += jobs.at(k.first).spec.per_task;
+  for (const TeamQuota& t : settings.teams)
     if (t.name == name)
       return (t.cpus_max > 0 && used.cpus + least.cpus > t.cpus_max) ||
              (t.gpus_max > 0 && used.gpus + least.gpus > t.gpus_max);
@@ -1468,17 +1488,17 @@
 void World::leader_begins() {
   led_since_ = clock.now;
   meet("leader_begins");
-  for (const Report& r : kept_copies_)
+  for (const Heartbeat& r : kept_copies_)
     for (auto& n : nodes)
-      clock.after(kWire + 0.3 * chance(), [this, r, node = n.get()] {
-        if (!node->alive) return;
-        if (node->leading()) meet("old_report_as_leader_begins");
-        node->on_report(r);
+      clock.after(kWire + 0.3 * chance(), [this, r, controller = n.get()] {
+        if (!controller->alive) return;
+        if (controller->leading()) meet("old_report_as_leader_begins");
+        controller->on_heartbeat(r);
       });
   kept_copies_.clear();
 }
 
-void World::keep_copy(const Report& r) {
+void World::keep_copy(const Heartbeat& r) {
   if (keep_copies > 0 && chance() < keep_copies) kept_copies_.push_back(r);
 }
 
@@ -1489,28 +1509,28 @@
                when);
   if (it == jobs.end()) return;
   UserJob& j = it->second;
-  const bool over = j.told == "done" || j.told == "aborted";
+  const bool finished = j.told == "done" || j.told == "aborted";
   const bool first = j.told.empty() && a != "404";
-  if (first || (!over && (a == "done" || a == "aborted"))) {
+  if (first || (!finished && (a == "done" || a == "aborted"))) {
     if (a == "aborted") meet_cancelled(j);
     close_looks(id);
     // Some cancel what was accepted just now.
     if (clock.now < close_looks_until && first && chance() < 0.15) abort(id);
   }
   if (a == "404") return;  // not accepted yet, or the checker has said what it is
-  if (over && (a == "pending" || a == "running")) return;  // on its way
+  if (finished && (a == "pending" || a == "running")) return;  // on its way
   j.told = a;
   if (a == "done" && j.done_at < 0) j.done_at = clock.now;
-  if (a == "aborted" && j.aborted_at < 0) j.aborted_at = clock.now;
+  if (a == "aborted" && j.cancelled_at < 0) j.cancelled_at = clock.now;
 }
 
 double World::served(const std::string& id, double after_s) const {
   const UserJob& j = jobs.at(id);
-  const double end = j.aborted_at >= 0 ? j.aborted_at : clock.now;
+  const double end = j.cancelled_at >= 0 ? j.cancelled_at : clock.now;
   double served = j.served_s;
   for (const auto& [name, w] : workers)
     for (const auto& [k, t] : w->tasks)
-      if (k.first == id && t.seen == Seen::running) served += clock.now - t.began;
+      if (k.first == id && t.phase == TaskPhase::running) served += clock.now - t.began;
   return served / (j.spec.tasks * std::max(0.01, end - j.submitted_at - after_s));
 }
 
@@ -1519,21 +1539,21 @@
   std::vector<std::pair<Worker*, uint32_t>> members;
   for (auto& [n, w] : workers)
     for (auto& [k, t] : w->tasks)
-      if (k.first == id && t.attempt == attempt && t.seen == Seen::gathering)
+      if (k.first == id && t.attempt == attempt && t.phase == TaskPhase::gang_waiting)
         members.emplace_back(w.get(), k.second);
   if (members.size() < j.spec.tasks) return;
   for (auto& [w, task] : members) {
     Worker::Task& t = w->tasks.at({id, task});
-    t.seen = Seen::running;
+    t.phase = TaskPhase::running;
     t.began = clock.now;
     const uint64_t step = t.step = new_step();
     const auto key = std::make_pair(id, task);
     Worker* wp = w;
     const double left = std::max(0.01, j.run_s - j.progress[task]);
-    const Cause end = wp->sick || j.faulty ? Cause::error : Cause::done;
-    clock.after(end == Cause::error ? 0.5 : left, [wp, key, step, end] {
+    const ExitCause end = wp->sick || j.faulty ? ExitCause::error : ExitCause::done;
+    clock.after(end == ExitCause::error ? 0.5 : left, [wp, key, step, end] {
       auto f = wp->tasks.find(key);
-      if (wp->gone || f == wp->tasks.end() || f->second.step != step) return;
+      if (wp->terminated || f == wp->tasks.end() || f->second.step != step) return;
       wp->leave(key.first, key.second, end, false);
     });
     wp->changed();
@@ -1544,12 +1564,13 @@
   // Progress stops at once; the others notice a little later.
   for (auto& [n, w] : workers)
     for (auto& [k, t] : w->tasks)
-      if (k.first == id && t.attempt == attempt && t.seen == Seen::running) t.step = new_step();
+      if (k.first == id && t.attempt == attempt && t.phase == TaskPhase::running)
+        t.step = new_step();
   clock.after(settings.gang_peer_s * 0.9, [this, id, attempt] {
     for (auto& [n, w] : workers)
       for (auto& [k, t] : w->tasks)
-        if (k.first == id && t.attempt == attempt && t.seen == Seen::running) {
-          w->leave(k.first, k.second, Cause::peers, false);
+        if (k.first == id && t.attempt == attempt && t.phase == TaskPhase::running) {
+          w->leave(k.first, k.second, ExitCause::gang_peer_lost, false);
           break;
         }
   });
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -1,8 +1,9 @@
 #pragma once
-// Stand-ins for everything outside the core, in simulated time and in one process: the state
-// service, the cloud, workers, users, and nodes that run the real core, mirror and ledger with
-// the same rules of leadership as the daemon's threads. Messages can be lost, delayed, repeated
-// and held back by cuts. Everything is decided by the seed: the same file gives the same run.
+// Stand-ins for everything outside the scheduler, in simulated time and in one process: the state
+// service, the cloud, workers, users, and nodes that run the real core, ledger cache and ledger
+// with the same rules of leadership as the daemon's threads. Messages can be lost, delayed,
+// repeated and held back by cuts. Everything is decided by the seed: the same file gives the same
+// run.
 
 #include <functional>
 #include <map>
@@ -15,9 +16,9 @@
 #include <vector>
 
 #include "checker.h"
-#include "core/cancellations.h"
-#include "core/core.h"
-#include "core/lease_clock.h"
+#include "leadership/cancellations.h"
+#include "leadership/lease_clock.h"
+#include "scheduler/scheduler.h"
 
 namespace rookdyke::test {
 
@@ -62,7 +63,7 @@
   size_t value_bytes = 8192, txn_ops = 8;
   size_t rejected = 0;         // transactions beyond the limits
   size_t largest_written = 0;  // bytes of a value since the limits were last lowered
-  void lower_limits(const StateLimits& to) {
+  void apply_lowered_limits(const StateLimits& to) {
     value_bytes = to.value_bytes;
     txn_ops = to.txn_ops;
     largest_written = 0;
@@ -75,7 +76,7 @@
   // Whether a transaction that is carried out at once gets no answer.
   std::function<bool()> loses_answer = [] { return false; };
   // Whether the request that is served now gets no answer.
-  bool unanswered = false;
+  bool unanswered_starts = false;
 
   ledger::Result commit(const ledger::Transaction& t);
   uint64_t grant(double ttl);
@@ -107,24 +108,24 @@
 // ---- a machine with its worker
 class Worker {
  public:
-  Worker(World& w, std::string name, TypeInfo type, std::string zone, bool spot);
+  Worker(World& w, std::string name, MachineType type, std::string zone, bool spot);
   void boot();
   void hang(double s);
   void vanish();  // the machine and all on it are gone
   void notice(double s);
-  void session_over();
-  bool gone = false, hung = false, sick = false, up = false;
+  void end_epoch();
+  bool terminated = false, hung = false, sick = false, up = false;
   double mute_until = -1;  // it reaches no controller; commands reach it
   double deaf_until = -1;  // its reports arrive; answers and commands do not reach it
   double rented_at;
   std::string name, zone;
-  const TypeInfo type;
+  const MachineType type;
   const bool spot;
 
   struct Task {
     uint64_t attempt = 0;
-    Seen seen = Seen::pulling;
-    Cause cause = Cause::none;
+    TaskPhase phase = TaskPhase::fetching;
+    ExitCause cause = ExitCause::none;
     bool saved = false;
     uint64_t step = 0;  // outdates scheduled steps
     double began = 0;   // to run
@@ -132,33 +133,35 @@
   };
   std::map<std::pair<std::string, uint32_t>, Task> tasks;
 
-  Report make_report();
-  void execute(const std::vector<Order>& orders, double ordered_at);
-  std::optional<Report> direct(uint64_t token, uint64_t session, const std::vector<Order>& orders);
+  Heartbeat make_heartbeat();
+  void execute(const std::vector<WorkerCommand>& commands, double ordered_at);
+  std::optional<Heartbeat> direct(uint64_t fencing_token, uint64_t epoch,
+                                  const std::vector<WorkerCommand>& commands);
   void begin(const std::string& job, uint32_t task);
   // By value: callers pass keys of the map that this erases from.
-  void leave(std::string job, uint32_t task, Cause why, bool saved);
+  void leave(std::string job, uint32_t task, ExitCause why, bool saved);
   void changed();
 
  private:
   void report();
-  void answered(double sent, uint64_t session, int status, uint64_t token,
-                const std::vector<Order>& orders, const std::string& leader, double ordered_at);
+  void answered(double sent, uint64_t epoch, int status, uint64_t fencing_token,
+                const std::vector<WorkerCommand>& commands, const std::string& leader,
+                double ordered_at);
   void next_in(double s);
   void check_lease();
   void on_machine(const std::string& job, uint32_t task, bool is);
 
   World& w_;
-  uint64_t session_ = 1, seq_ = 0, token_ = 0;
+  uint64_t epoch_ = 1, seq_ = 0, fencing_token_ = 0;
   double lease_from_ = 0;
   double recall_at_ = -1;
-  size_t node_ = 0;
+  size_t controller_ = 0;
   uint64_t timer_ = 0;
   bool in_flight_ = false, dirty_ = false;
   double last_sent_ = -1;
   struct Held {
-    uint64_t token, session;
-    std::vector<Order> orders;
+    uint64_t fencing_token, epoch;
+    std::vector<WorkerCommand> commands;
     double ordered_at;
   };
   void carry_out(const Held& h);
@@ -168,41 +171,41 @@
 };
 
 // ---- a controller
-class SimNode {
+class SimController {
  public:
-  SimNode(World& w, size_t index);
+  SimController(World& w, size_t index);
   void boot();
   void crash();
   bool alive = false;
-  bool leading() const { return core_ != nullptr; }
-  Core* core() { return core_.get(); }
-  const Core* core() const { return core_.get(); }
-  uint64_t token() const { return token_; }
+  bool leading() const { return scheduler_ != nullptr; }
+  Scheduler* scheduler() { return scheduler_.get(); }
+  const Scheduler* scheduler() const { return scheduler_.get(); }
+  uint64_t fencing_token() const { return fencing_token_; }
   const std::string& label() const { return label_; }
   void step_down(const std::string& why, double rest = 0);
   // It stands still for so long, in the middle of whatever it waits for; its clocks run on.
   void freeze(double s);
   double still_until = -1;
 
-  struct ReportAnswer {
+  struct HeartbeatAnswer {
     int status = 503;
-    uint64_t token = 0;
-    std::vector<Order> orders;
+    uint64_t fencing_token = 0;
+    std::vector<WorkerCommand> commands;
     std::string leader;
   };
-  ReportAnswer on_report(const Report& r);
+  HeartbeatAnswer on_heartbeat(const Heartbeat& r);
   // Answers a poll, submission or abort later, by `reply("pending"...)`; empty: 503.
   void user(const std::string& verb, const JobSpec& spec,
             const std::function<void(const std::string&)>& reply);
 
  private:
-  void later(double s, void (SimNode::*loop)());
+  void later(double s, void (SimController::*loop)());
   bool lease_confirmed();
-  bool acts();
+  bool may_decide();
   uint64_t known_token() const;
-  void may_say_aborted(const std::string& id, uint64_t leader,
-                       const std::function<void(bool)>& then);
-  uint64_t take_cancelled(uint64_t token, const std::string& id, const MirrorJob& job);
+  void may_confirm_cancelled(const std::string& id, uint64_t leader,
+                             const std::function<void(bool)>& then);
+  uint64_t on_cancellations(uint64_t fencing_token, const std::string& id, const CachedJob& job);
   void put_job(const std::string& id, const nlohmann::json& value, uint64_t version);
   void watch();
   void lead();
@@ -220,20 +223,20 @@
   size_t index_;
   std::string label_;
   uint64_t life_ = 0;  // outdates what belongs to an earlier process
-  Mirror mirror_;
+  LedgerCache ledger_cache_;
   uint64_t revision_ = 0;
   bool loaded_ = false, campaigning_ = false;
-  std::unique_ptr<Core> core_;
-  uint64_t token_ = 0, lease_ = 0;
+  std::unique_ptr<Scheduler> scheduler_;
+  uint64_t fencing_token_ = 0, lease_ = 0;
   LeaseClock lease_clock_;
   KnownCancellations known_cancellations_;
   CancellationStaleness cancellation_staleness_;
   uint64_t highest_token_ = 0;
-  double rest_until_ = 0, heard_state_ = -1e9, heard_sibling_ = -1e9;
+  double cooldown_until_ = 0, heard_state_ = -1e9, heard_sibling_ = -1e9;
   std::vector<std::function<void(bool)>> waiting_;
   bool committing_ = false, cloud_busy_ = false;
   double next_list_ = 0, next_renewal_ = 0;
-  uint64_t marks_ = 0;
+  uint64_t transaction_count_ = 0;
 };
 
 // ---- everything
@@ -244,16 +247,16 @@
 
 class World {
  public:
-  World(Settings settings, std::vector<TypeInfo> types, size_t nodes, uint64_t seed);
+  World(Settings settings, std::vector<MachineType> types, size_t nodes, uint64_t seed);
   void start();
 
   Clock clock;
   Store store;
   Settings settings;
-  std::vector<TypeInfo> types;
+  std::vector<MachineType> types;
   std::mt19937_64 random;
   Checker checker;
-  std::vector<std::unique_ptr<SimNode>> nodes;
+  std::vector<std::unique_ptr<SimController>> nodes;
   std::map<std::string, std::unique_ptr<Worker>> workers;
   double lose = 0, repeat = 0, slow = 0;  // chances per message
   // Copies of reports that come late, to any node: chance per report, and up to how late.
@@ -276,8 +279,8 @@
   void call(const std::string& from, const std::string& to, double timeout,
             const std::function<void()>& served, const std::function<void(bool)>& done);
   void cut(const std::string& a, const std::string& b, double s, bool hold);
-  // What lies in a zone is cut from all that does not. Node i lies in zone i modulo their number;
-  // the state service, the cloud and the users lie in none.
+  // What lies in a zone is cut from all that does not. Controller i lies in zone i modulo their
+  // number; the state service, the cloud and the users lie in none.
   void cut_zone(const std::string& zone, double s, bool hold);
   // The state service refuses that place alone.
   void refuse(const std::string& place, double s) { refused_[place] = clock.now + s; }
@@ -288,7 +291,7 @@
     std::vector<std::string> names;
   };
   RentalAnswer rent(const RentalRequest& h);
-  void give_back(const std::vector<std::string>& names);
+  void return_machines(const std::vector<std::string>& names);
   std::vector<ListedMachine> list() const;
   bool cloud_outage = false;
   std::map<std::pair<std::string, bool>, int> capacity;    // (zone, spot)
@@ -302,7 +305,7 @@
     double run_s = 10;
     bool faulty = false;
     std::string told;  // last standing
-    double done_at = -1, aborted_at = -1, first_start = -1;
+    double done_at = -1, cancelled_at = -1, first_start = -1;
     bool abort_asked = false;
     std::map<uint32_t, double> progress;
     std::set<uint32_t> done;
@@ -333,10 +336,10 @@
   void gathered(const std::string& job, uint64_t attempt);
   void gang_lost(const std::string& job, uint64_t attempt);
 
-  SimNode* leader();
+  SimController* leader();
   void leader_begins();
   // The copy of a report may be kept until then.
-  void keep_copy(const Report& r);
+  void keep_copy(const Heartbeat& r);
   // How often troubles met: a scenario demands by it that it brings about what it is for.
   void meet(const std::string& what);
   std::map<std::string, size_t> met;
@@ -356,17 +359,17 @@
   void odd_request();
   using Hears = std::function<void(const std::string& answer, const Asked& when)>;
   // One request to a node. It is heard once: the answer, or "" once its patience has run out.
-  void ask(size_t node, const std::string& verb, const JobSpec& spec, double patience,
+  void ask(size_t controller, const std::string& verb, const JobSpec& spec, double patience,
            const Hears& hears);
   // One request about a job, sent once; its answer is checked like any other.
   void ask_once(const std::string& verb, const JobSpec& spec);
-  void ask_node(size_t node, const std::string& verb, const JobSpec& spec);
+  void ask_node(size_t controller, const std::string& verb, const JobSpec& spec);
   void heard(const std::string& id, const std::string& answer, bool cancel_asked,
              const Asked& when);
   void close_looks(const std::string& id);
   void meet_cancelled(const UserJob& job);
   bool at_limit(const std::string& team) const;
-  SimNode* any_node(size_t& index);
+  SimController* any_node(size_t& index);
   // When what arrives or is answered at a place is looked at: now, but for a node that stands
   // still.
   double awake_at(const std::string& place) const;
@@ -377,7 +380,7 @@
   std::map<std::pair<std::string, std::string>, Cut> cuts_;
   std::map<std::string, Cut> zone_cuts_;
   std::map<std::string, double> refused_;
-  std::vector<Report> kept_copies_;
+  std::vector<Heartbeat> kept_copies_;
   double led_since_ = -1;
   uint64_t next_machine_ = 0, steps_ = 0;
   double sent_at_ = 0, next_look_ = 0;
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "core_fixtures.h"
+#include "scheduler_fixtures.h"
 
 namespace rookdyke {
 namespace {
@@ -12,31 +12,32 @@
 constexpr size_t kPlacesOfAMachine = 4;
 constexpr uint32_t kSeveralTimesTheFleet = 20'000;
 
-Mirror ledger_with_array(uint32_t tasks, double accepted_at) {
-  Mirror mirror;
+LedgerCache ledger_with_array(uint32_t tasks, double accepted_at) {
+  LedgerCache ledger_cache;
   ledger::JobRow row;
   row.tasks = tasks;
-  row.per = 100;
-  row.at_s = accepted_at;
+  row.chunk_size = 100;
+  row.timestamp_s = accepted_at;
   row.spec = JobSpec{};
   row.spec->team = "team";
   row.spec->tasks = tasks;
-  row.spec->each = {1, 1, 1};
+  row.spec->per_task = {1, 1, 1};
   row.spec->image = "image";
   row.spec->image_gb = 1;
-  mirror.put("rd/j/wk-000001", ledger::encode(row), 3);
-  return mirror;
+  ledger_cache.put("rd/j/wk-000001", ledger::encode(row), 3);
+  return ledger_cache;
 }
 
 // Starts of the array in the first round of a leader, 64 empty machines of four places each.
 size_t starts_in_first_round(uint32_t tasks, double waited) {
   constexpr double kNow = 500;
-  Core core(test::bare_settings(), {test::bare_type()}, kToken, kNow);
-  core.set_day_offset(0);
-  core.load(ledger_with_array(tasks, kNow - waited), kNow);
-  for (int i = 0; i < kMachines; ++i) core.on_report(test::bare_report(i, 1, kToken), kNow);
-  core.round(kNow);
-  return core.find_job("wk-000001")->attempts.size();
+  Scheduler scheduler(test::bare_settings(), {test::bare_type()}, kToken, kNow);
+  scheduler.set_day_offset(0);
+  scheduler.load(ledger_with_array(tasks, kNow - waited), kNow);
+  for (int i = 0; i < kMachines; ++i)
+    scheduler.on_heartbeat(test::bare_heartbeat(i, 1, kToken), kNow);
+  scheduler.round(kNow);
+  return scheduler.find_job("wk-000001")->attempts.size();
 }
 
 // Without the bound by the fleet an array larger than it would take every place at its turn, before
--- a/tests/upgrade/rehearse_upgrade.cpp
+++ b/tests/upgrade/rehearse_upgrade.cpp
@@ -96,7 +96,7 @@
           "what ran before the upgrade has run on, and was started once");
 
     serve();
-    state_.lower_limits({1024, 4, 20});
+    state_.apply_lowered_limits({1024, 4, 20});
     work("the state service has lowered its limits");
     cancel("wk-900001");
     check(cloud_.ran_twice() == 0, "nothing ran twice");
@@ -226,7 +226,7 @@
           "submit " + description.at("id").get<std::string>() + " at " + r.label);
   }
 
-  std::string standing(const Replica& r, const std::string& id) {
+  std::string status(const Replica& r, const std::string& id) {
     const auto [status, body] = ask(r, "/v2/runs/" + id);
     return status == 200 ? body.value("standing", "") : std::to_string(status);
   }
@@ -234,7 +234,7 @@
   bool all_say(const std::string& id, const std::string& what) {
     return until([&] {
       return std::all_of(replicas_.begin(), replicas_.end(),
-                         [&](const Replica& r) { return standing(r, id) == what; });
+                         [&](const Replica& r) { return status(r, id) == what; });
     });
   }
 
@@ -276,7 +276,7 @@
     cloud_.fail_tasks(id);
     check(until([&] { return cloud_.started(id) >= 6 && cloud_.running(id) == 3; }),
           "all three failed and run again");
-    check(standing(replicas_[2], id) == "running", "it is running");
+    check(status(replicas_[2], id) == "running", "it is running");
     cancel(id);
     service["id"] = "wk-900004";
     service["shifts"] = 13;
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -16,8 +16,8 @@
 namespace rookdyke {
 namespace {
 
+using ledger::JobStatus;
 using ledger::Outcome;
-using ledger::Standing;
 using nlohmann::json;
 
 constexpr const char* kJob = "wk-000001";
@@ -32,9 +32,11 @@
     if (barrier_ok && on_barrier) on_barrier();
     return barrier_ok;
   }
-  void read(const std::function<void(const Mirror&)>& look) const override { look(mirror); }
-  std::vector<TypeInfo> machine_types() const override { return types; }
-  std::string transaction_mark() override { return "mark." + std::to_string(++marks); }
+  void read(const std::function<void(const LedgerCache&)>& look) const override {
+    look(ledger_cache);
+  }
+  std::vector<MachineType> machine_types() const override { return types; }
+  std::string new_transaction_id() override { return "mark." + std::to_string(++marks); }
   std::optional<ledger::Result> commit(const ledger::Transaction& transaction, double) override {
     committed.push_back(transaction);
     if (results.empty()) return std::nullopt;
@@ -43,24 +45,26 @@
     return result;
   }
   void apply_committed(const wire::Row& row) override {
-    mirror.put(row.key, row.value, row.version);
+    ledger_cache.put(row.key, row.value, row.version);
   }
-  bool may_say_aborted(const std::string& job, double, uint64_t leader) override {
+  bool may_confirm_cancelled(const std::string& job, double, uint64_t leader) override {
     asked_about.push_back(job);
     leader_at_write = leader;
     return leader_knows;
   }
   bool siblings_are_served() const override { return siblings_served; }
 
-  void put_job(Standing standing, uint64_t version = kVersion) {
+  void put_job(JobStatus status, uint64_t version = kVersion) {
     ledger::JobRow row;
-    row.standing = standing;
+    row.status = status;
     row.tasks = 4;
-    row.per = 4;
+    row.chunk_size = 4;
     row.spec = JobSpec{};
-    mirror.put(ledger::job_key(kJob), ledger::encode(row), version);
+    ledger_cache.put(ledger::job_key(kJob), ledger::encode(row), version);
+  }
+  void set_leader() {
+    ledger_cache.put(ledger::kLeaderKey, {{"label", "n-a"}, {"w", "m"}}, kLeader);
   }
-  void set_leader() { mirror.put(ledger::kLeaderKey, {{"label", "n-a"}, {"w", "m"}}, kLeader); }
   void answer_commits(Outcome outcome, uint64_t revision = 9) {
     ledger::Result result;
     result.outcome = outcome;
@@ -68,8 +72,8 @@
     results.push_back(result);
   }
 
-  Mirror mirror;
-  std::vector<TypeInfo> types;
+  LedgerCache ledger_cache;
+  std::vector<MachineType> types;
   bool barrier_ok = true, leader_knows = true, siblings_served = false;
   std::function<void()> on_barrier;  // what it brings
   std::deque<ledger::Result> results;
@@ -92,7 +96,7 @@
   UserApiTest() : api(settings, ledger) {
     settings.zones = {"a"};
     settings.teams = {{"t", 0, 2, 0, 0}};
-    TypeInfo box;
+    MachineType box;
     box.name = "box";
     box.size = {4, 0, 8};
     ledger.types = {box};
@@ -112,7 +116,7 @@
   }
   httplib::Response poll() { return ask("GET", std::string("/v2/runs/") + kJob); }
   httplib::Response abort() { return ask("POST", std::string("/v2/runs/") + kJob + "/abort"); }
-  static std::string standing(const httplib::Response& response) {
+  static std::string status(const httplib::Response& response) {
     return wire::unpack(response.body).value_or(json()).value("standing", "");
   }
   // 503 says when to come back.
@@ -144,26 +148,26 @@
   ledger.answer_commits(Outcome::applied);
   const auto response = submit();
   EXPECT_EQ(response.status, 201);
-  EXPECT_EQ(standing(response), "pending");
+  EXPECT_EQ(status(response), "pending");
   ASSERT_EQ(ledger.committed.size(), 1u);
   const ledger::Transaction& t = ledger.committed[0];
   ASSERT_EQ(t.conditions.size(), 1u);  // create if absent
   EXPECT_EQ(t.conditions[0].key, ledger::job_key(kJob));
   EXPECT_EQ(t.conditions[0].version, 0u);
   ASSERT_EQ(t.changes.size(), 1u);
-  EXPECT_EQ(t.changes[0].value.at("w"), t.mark);
-  ASSERT_TRUE(ledger.mirror.job(kJob));  // seen by the next request at once
-  EXPECT_EQ(ledger.mirror.job(kJob)->version, 9u);
+  EXPECT_EQ(t.changes[0].value.at("w"), t.transaction_id);
+  ASSERT_TRUE(ledger.ledger_cache.job(kJob));  // seen by the next request at once
+  EXPECT_EQ(ledger.ledger_cache.job(kJob)->version, 9u);
   EXPECT_EQ(ledger.barriers, 0);
 }
 
 TEST_F(UserApiTest, AKnownJobIsAnsweredWhateverTheBodySays) {
-  ledger.put_job(Standing::open);
+  ledger.put_job(JobStatus::open);
   json other = description();
   other["crew"] = "nobody";
   EXPECT_EQ(submit(other).status, 200);
   EXPECT_EQ(ledger.barriers, 1);
-  ledger.put_job(Standing::done, kVersion + 1);
+  ledger.put_job(JobStatus::done, kVersion + 1);
   other["shifts"] = 0;
   EXPECT_EQ(submit(other).status, 200);
   EXPECT_EQ(ledger.barriers, 1);  // final: no newer answer can exist
@@ -182,7 +186,7 @@
   expect_refusal(submit(impossible), false);
   // Another replica accepted it meanwhile.
   ledger.barrier_ok = true;
-  ledger.on_barrier = [this] { ledger.put_job(Standing::open); };
+  ledger.on_barrier = [this] { ledger.put_job(JobStatus::open); };
   EXPECT_EQ(submit(malformed).status, 200);
   EXPECT_TRUE(ledger.committed.empty());
 }
@@ -190,7 +194,7 @@
 TEST_F(UserApiTest, AnImpossibleJobThatAnotherReplicaAcceptedIsKnown) {
   json impossible = description();
   impossible["crew"] = "nobody";
-  ledger.on_barrier = [this] { ledger.put_job(Standing::open); };
+  ledger.on_barrier = [this] { ledger.put_job(JobStatus::open); };
   EXPECT_EQ(submit(impossible).status, 200);
 }
 
@@ -224,8 +228,8 @@
   EXPECT_EQ(submit(service).status, 201);
   const auto row = ledger::decode_job(kJob, ledger.committed.back().changes.at(0).value);
   ASSERT_TRUE(row && row->spec);
-  EXPECT_EQ(row->spec->shape, Shape::service);
-  EXPECT_EQ(row->per, ledger::tasks_per_chunk(2048));
+  EXPECT_EQ(row->spec->shape, JobShape::service);
+  EXPECT_EQ(row->chunk_size, ledger::tasks_per_chunk(2048));
   service.erase("expected_s");
   service["id"] = "wk-000002";
   EXPECT_EQ(submit(service).status, 400);
@@ -233,12 +237,12 @@
 
 // It is there, but nobody can say how it stands.
 TEST_F(UserApiTest, AJobWhoseRowCannotBeReadIsNeitherUnknownNorAnswered) {
-  ledger.mirror.put(ledger::job_key(kJob), "noise", kVersion);
+  ledger.ledger_cache.put(ledger::job_key(kJob), "noise", kVersion);
   expect_refusal(poll(), false);
   expect_refusal(abort(), false);
   ledger.answer_commits(Outcome::conflict);
   expect_refusal(submit(), false);
-  ledger.put_job(Standing::open, kVersion + 1);
+  ledger.put_job(JobStatus::open, kVersion + 1);
   EXPECT_EQ(poll().status, 200);
 }
 
@@ -252,15 +256,15 @@
   expect_refusal(submit(), false);  // none in time
   ledger.answer_commits(Outcome::refused);
   expect_refusal(submit(), false);
-  EXPECT_FALSE(ledger.mirror.job(kJob));
+  EXPECT_FALSE(ledger.ledger_cache.job(kJob));
 }
 
 TEST_F(UserApiTest, ACopyOfASubmissionThatCameFirstAnswersIt) {
   ledger.answer_commits(Outcome::conflict);
-  ledger.on_barrier = [this] { ledger.put_job(Standing::open); };
+  ledger.on_barrier = [this] { ledger.put_job(JobStatus::open); };
   EXPECT_EQ(submit().status, 200);
   // The barrier shows none: nothing is known, so nothing is said.
-  ledger.mirror = Mirror();
+  ledger.ledger_cache = LedgerCache();
   ledger.on_barrier = nullptr;
   ledger.answer_commits(Outcome::conflict);
   expect_refusal(submit(), false);
@@ -270,49 +274,49 @@
 
 TEST_F(UserApiTest, APollIsAnsweredAfterABarrierOnly) {
   EXPECT_EQ(poll().status, 404);
-  ledger.put_job(Standing::open);
+  ledger.put_job(JobStatus::open);
   EXPECT_EQ(poll().status, 200);
   EXPECT_EQ(ledger.barriers, 2);
   ledger.barrier_ok = false;
   expect_refusal(poll(), false);
-  ledger.mirror = Mirror();
+  ledger.ledger_cache = LedgerCache();
   expect_refusal(poll(), false);  // not even that there is no such job
 }
 
 TEST_F(UserApiTest, AFinalStateNeedsNoBarrier) {
-  ledger.put_job(Standing::done);
+  ledger.put_job(JobStatus::done);
   ledger.barrier_ok = false;
-  EXPECT_EQ(standing(poll()), "done");
+  EXPECT_EQ(status(poll()), "done");
   EXPECT_EQ(ledger.barriers, 0);
 }
 
 TEST_F(UserApiTest, APollThatTookTooLongIsNotAnswered) {
-  ledger.put_job(Standing::open);
+  ledger.put_job(JobStatus::open);
   ledger.on_barrier = [] { std::this_thread::sleep_for(std::chrono::milliseconds(2100)); };
   expect_refusal(poll(), false);
 }
 
 TEST_F(UserApiTest, NobodyHearsOfACancellationThatTheLeaderMayNotKnow) {
-  ledger.put_job(Standing::aborted);
+  ledger.put_job(JobStatus::cancelled);
   ledger.leader_knows = false;
   expect_refusal(poll(), true);
   expect_refusal(submit(), true);
   expect_refusal(abort(), true);
   EXPECT_EQ(ledger.asked_about.size(), 3u);
   ledger.leader_knows = true;
-  EXPECT_EQ(standing(poll()), "aborted");
-  EXPECT_EQ(standing(submit()), "aborted");
-  EXPECT_EQ(standing(abort()), "aborted");
+  EXPECT_EQ(status(poll()), "aborted");
+  EXPECT_EQ(status(submit()), "aborted");
+  EXPECT_EQ(status(abort()), "aborted");
   EXPECT_TRUE(ledger.committed.empty());
 }
 
 // ---------------------------------------------------------------- cancellations
 
 TEST_F(UserApiTest, ACancellationIsWrittenOnConditionOfTheJobAndTheLeader) {
-  ledger.put_job(Standing::open);
+  ledger.put_job(JobStatus::open);
   ledger.set_leader();
   ledger.answer_commits(Outcome::applied);
-  EXPECT_EQ(standing(abort()), "aborted");
+  EXPECT_EQ(status(abort()), "aborted");
   ASSERT_EQ(ledger.committed.size(), 1u);
   const auto& conditions = ledger.committed[0].conditions;
   ASSERT_EQ(conditions.size(), 2u);
@@ -321,12 +325,13 @@
   EXPECT_EQ(conditions[1].key, ledger::kLeaderKey);
   EXPECT_EQ(conditions[1].version, kLeader);
   EXPECT_EQ(ledger.leader_at_write, kLeader);
-  EXPECT_EQ(ledger.mirror.job(kJob)->row.standing, Standing::aborted);
-  EXPECT_TRUE(ledger.mirror.job(kJob)->row.spec);  // it counts for limits until its tasks are gone
+  EXPECT_EQ(ledger.ledger_cache.job(kJob)->row.status, JobStatus::cancelled);
+  EXPECT_TRUE(
+      ledger.ledger_cache.job(kJob)->row.spec);  // it counts for limits until its tasks are gone
 }
 
 TEST_F(UserApiTest, WhileNobodyLeadsACancellationIsWrittenAndNotTold) {
-  ledger.put_job(Standing::open);
+  ledger.put_job(JobStatus::open);
   ledger.leader_knows = false;
   ledger.answer_commits(Outcome::applied);
   expect_refusal(abort(), true);
@@ -336,25 +341,25 @@
 }
 
 TEST_F(UserApiTest, ACancellationThatMeetsAnotherChangeLooksAgain) {
-  ledger.put_job(Standing::open);
+  ledger.put_job(JobStatus::open);
   ledger.answer_commits(Outcome::conflict);
   ledger.on_barrier = [this] {
-    if (ledger.barriers == 2) ledger.put_job(Standing::done, kVersion + 1);
+    if (ledger.barriers == 2) ledger.put_job(JobStatus::done, kVersion + 1);
   };
-  EXPECT_EQ(standing(abort()), "done");  // it ended first: that stays
+  EXPECT_EQ(status(abort()), "done");  // it ended first: that stays
   EXPECT_EQ(ledger.committed.size(), 1u);
   EXPECT_EQ(ledger.barriers, 2);
 }
 
 TEST_F(UserApiTest, ACancellationWithoutABarrierOrAnOutcomeIsNotTold) {
   EXPECT_EQ(abort().status, 404);
-  ledger.put_job(Standing::open);
+  ledger.put_job(JobStatus::open);
   expect_refusal(abort(), false);
   ledger.answer_commits(Outcome::refused);
   expect_refusal(abort(), false);
   ledger.barrier_ok = false;
   expect_refusal(abort(), false);
-  EXPECT_EQ(ledger.mirror.job(kJob)->row.standing, Standing::open);
+  EXPECT_EQ(ledger.ledger_cache.job(kJob)->row.status, JobStatus::open);
   EXPECT_TRUE(ledger.asked_about.empty());
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -25,8 +25,8 @@
   std::string e;
   const auto s = parse_job(good(), e);
   ASSERT_TRUE(s) << e;
-  EXPECT_EQ(s->shape, Shape::gang);
-  EXPECT_EQ(s->rank, Rank::urgent);
+  EXPECT_EQ(s->shape, JobShape::gang);
+  EXPECT_EQ(s->priority, Priority::urgent);
   EXPECT_EQ(s->tasks, 16u);
   EXPECT_TRUE(s->zone.empty());
   EXPECT_EQ(s->types, std::vector<std::string>{"g8"});
@@ -105,16 +105,16 @@
                      {"standing", "exited"},
                      {"cause", "halted"},
                      {"stored", true}}}}};
-  const auto r = parse_report(j);
+  const auto r = parse_heartbeat(j);
   ASSERT_TRUE(r);
-  EXPECT_EQ(r->session, 2u);
-  EXPECT_EQ(r->token, 41u);
+  EXPECT_EQ(r->epoch, 2u);
+  EXPECT_EQ(r->fencing_token, 41u);
   EXPECT_LT(r->notice_s, 0);
   ASSERT_EQ(r->tasks.size(), 2u);
   EXPECT_EQ(r->tasks[0].task, 3u);
-  EXPECT_EQ(r->tasks[1].cause, Cause::halted);
+  EXPECT_EQ(r->tasks[1].cause, ExitCause::stopped);
   EXPECT_TRUE(r->tasks[1].saved);
-  EXPECT_FALSE(parse_report({{"tenure", 1}}));
+  EXPECT_FALSE(parse_heartbeat({{"tenure", 1}}));
 }
 
 json good_report() {
@@ -132,7 +132,7 @@
 
 // Numbers that a report lacks or has wrong would be taken for a session, a token or a notice.
 TEST(Wire, RefusesBadReports) {
-  ASSERT_TRUE(parse_report(good_report()));
+  ASSERT_TRUE(parse_heartbeat(good_report()));
   const std::vector<std::pair<const char*, json>> bad = {
       {"croft", ""},           {"croft", std::string(300, 'x')},
       {"croft", "\xff\xfe"},   {"tenure", "2"},
@@ -144,18 +144,18 @@
   for (const auto& [k, v] : bad) {
     json j = good_report();
     j[k] = v;
-    EXPECT_FALSE(parse_report(j)) << k;
+    EXPECT_FALSE(parse_heartbeat(j)) << k;
   }
   for (const json& v : {json(NAN), json(INFINITY), json(-3), json("soon"), json(true)}) {
     json j = good_report();
     j["recall_s"] = v;
-    const auto r = parse_report(j);
+    const auto r = parse_heartbeat(j);
     EXPECT_TRUE(!r || r->notice_s < 0) << v;
   }
   for (const json& v : {json("3"), json(-1), json(2.5), json()}) {
     json j = good_report();
     j["shifts"][0]["go"] = v;
-    EXPECT_FALSE(parse_report(j)) << v;
+    EXPECT_FALSE(parse_heartbeat(j)) << v;
   }
 }
 
@@ -232,7 +232,7 @@
 }
 
 TEST(Wire, WritesOrders) {
-  const json a = report_answer(7, {{Verb::stop, "wk-000001", 2, 3, 10}});
+  const json a = report_answer(7, {{CommandKind::stop, "wk-000001", 2, 3, 10}});
   EXPECT_EQ(a,
             json({{"warrant", 7},
                   {"orders",
