--- /dev/null
+++ b/src/ledger/page_table.cpp
@@ -0,0 +1,80 @@
+#include "ledger/page_table.h"
+
+#include <algorithm>
+
+#include "ledger/rows.h"
+
+namespace rookdyke {
+
+Page& PageTable::at_least(Index page) {
+  if (page >= pages_.size()) pages_.resize(page + 1);
+  return pages_[page];
+}
+
+// Prompt starts have pages of their own, so that one write makes many of them durable. New chunks
+// are laid out for the limits that the state service may be lowered to, from the start.
+Index PageTable::page_for(size_t bytes, PageKind kind) {
+  const size_t room = ledger::page_room(settings_.lasting_value_bytes());
+  for (Index i = 0; i < pages_.size(); ++i) {
+    Page& page = pages_[i];
+    if (!page.readable || page.unwritten_splits > 0) continue;
+    if (page.kind != kind && !page.members.empty()) continue;
+    if (page.reserved + bytes > room) continue;
+    page.kind = kind;
+    return i;
+  }
+  pages_.emplace_back();
+  pages_.back().kind = kind;
+  return static_cast<Index>(pages_.size() - 1);
+}
+
+Index PageTable::empty_page(PageKind kind) {
+  for (Index i = 0; i < pages_.size(); ++i) {
+    Page& page = pages_[i];
+    if (!page.members.empty() || !page.unreadable_jobs.empty() || !page.readable) continue;
+    if (page.in_flight || page.unwritten_splits > 0 || page.split_from != kNone) continue;
+    page.kind = kind;
+    return i;
+  }
+  pages_.emplace_back();
+  pages_.back().kind = kind;
+  return static_cast<Index>(pages_.size() - 1);
+}
+
+void PageTable::add_chunk(Job& job, uint32_t first, Index page) {
+  job.chunks.at(first).page = page;
+  pages_[page].reserved += job.chunk_bytes(first);
+  pages_[page].members.insert({job.id, first});
+}
+
+void PageTable::remove_chunk(Job& job, uint32_t first) {
+  ChunkPlace& place = job.chunks.at(first);
+  if (place.page == kNone) return;
+  Page& page = pages_[place.page];
+  page.members.erase({job.id, first});
+  page.reserved -= std::min(page.reserved, job.chunk_bytes(first));
+  place.page = kNone;
+}
+
+void PageTable::remove_job(Job& job) {
+  for (const auto& [first, place] : job.chunks) {
+    const Index i = place.page;
+    remove_chunk(job, first);
+    if (i == kNone) continue;
+    Page& page = pages_[i];
+    if (!page.members.empty() || page.split_from != kNone || page.unwritten_splits > 0) continue;
+    page.dirty_since = -1;
+    page.write_urgency = WriteUrgency::none;
+  }
+}
+
+void PageTable::mark_changed(Job& job, uint32_t task, WriteUrgency urgency, double now) {
+  const uint32_t first = job.chunk_of(task);
+  if (job.chunks.at(first).page == kNone)
+    add_chunk(job, first, page_for(job.chunk_bytes(first), job.page_kind()));
+  Page& page = pages_[job.chunks.at(first).page];
+  if (page.dirty_since < 0) page.dirty_since = now;
+  page.write_urgency = std::min(page.write_urgency, urgency);
+}
+
+}  // namespace rookdyke
--- /dev/null
+++ b/src/placement/eligibility.cpp
@@ -0,0 +1,56 @@
+#include "placement/eligibility.h"
+
+#include <algorithm>
+#include <tuple>
+
+namespace rookdyke {
+
+namespace {
+// In heartbeat intervals: a machine that is silent for longer may be gone already.
+constexpr double kMissedHeartbeat = 1.7;
+// A job that failed on so many machines may be tried again on any of them.
+constexpr size_t kMaxAvoidedMachines = 3;
+}  // namespace
+
+bool Eligibility::takes_work(const Machine& machine, double now) const {
+  if (!machine.usable() || machine.type == kNone || now < machine.suspect_until) return false;
+  return now - machine.last_heartbeat <= kMissedHeartbeat * settings_.heartbeat_interval_s;
+}
+
+bool Eligibility::may_run(const Job& job, const Machine& machine, double now) const {
+  if (!job.types.empty() && !job.types[machine.type]) return false;
+  if (machine.spot && !job.spec.spot) return false;
+  if (job.zone != kNone && machine.zone != job.zone) return false;
+  if (machine.reserved_for != kNone && machine.reserved_for != job.id &&
+      now < machine.reserved_until)
+    return false;
+  // It still lists an older attempt, which must not be cleared.
+  const auto& unanswered = machine.unanswered_starts;
+  if (std::any_of(unanswered.begin(), unanswered.end(),
+                  [&](const auto& start) { return std::get<0>(start) == job.spec.id; }))
+    return false;
+  return !job.failed_machines.count(machine.index) ||
+         job.failed_machines.size() >= kMaxAvoidedMachines;
+}
+
+bool Eligibility::zone_allows(const Job& job, Index zone, uint32_t more) const {
+  if (job.zone != kNone && zone != job.zone) return false;
+  if (!job.spec.single_zone && !job.spec.spread_zones) return true;
+  uint32_t here = 0;
+  for (const auto& [task, attempt] : job.attempts) {
+    if (attempt.state == AttemptState::ended) continue;
+    if (machines_[attempt.machine].zone == zone)
+      ++here;
+    else if (job.spec.single_zone)
+      return false;
+  }
+  return !job.spec.spread_zones || here + more <= (job.tasks() + 1) / 2;
+}
+
+Resources Eligibility::free_resources(const Machine& machine) const {
+  Resources room = catalog_.types[machine.type].size;
+  room -= machine.used;
+  return room;
+}
+
+}  // namespace rookdyke
--- /dev/null
+++ b/src/scheduler/catalog.h
@@ -0,0 +1,50 @@
+#pragma once
+// The names and descriptions that decisions refer to: machine types, zones, teams, images and job
+// classes. Text becomes a dense index here, once; an index never changes within a process.
+
+#include <algorithm>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "model/settings.h"
+#include "model/types.h"
+
+namespace rookdyke {
+
+struct Catalog {
+  // Zones and teams of the settings and the types get the first indices, in their order.
+  Catalog(const Settings& settings, std::vector<MachineType> machine_types)
+      : types(std::move(machine_types)) {
+    for (const std::string& zone : settings.zones) zones.intern(zone);
+    for (const TeamQuota& team : settings.teams) teams.intern(team.name);
+    for (const MachineType& type : types) {
+      type_names.intern(type.name);
+      for (const std::string& zone : type.zones) zones.intern(zone);
+    }
+  }
+
+  // Takes over the current prices per hour; types that are not known are ignored.
+  void set_prices(const std::vector<MachineType>& current) {
+    for (const MachineType& type : current) {
+      const Index i = type_names.find(type.name);
+      if (i == kNone) continue;
+      types[i].price = type.price;
+      types[i].spot_price = type.spot_price;
+    }
+  }
+
+  // The shortest boot time of any type, in seconds; very large without types.
+  double shortest_boot_s() const {
+    double boot_s = 1e9;
+    for (const MachineType& type : types) boot_s = std::min(boot_s, type.boot_s);
+    return boot_s;
+  }
+
+  std::vector<MachineType> types;  // by type index
+  NameTable type_names, zones, teams, images, job_classes;
+  std::set<Index> prompt_start_images;  // of jobs that are promised a prompt start
+};
+
+}  // namespace rookdyke
--- a/src/scheduler/fleet.cpp
+++ b/src/scheduler/fleet.cpp
@@ -37,14 +37,6 @@
 
 }  // namespace
 
-void Scheduler::set_prices(const std::vector<MachineType>& types) {
-  for (const MachineType& t : types)
-    if (const Index i = type_names_.find(t.name); i != kNone) {
-      types_[i].price = t.price;
-      types_[i].spot_price = t.spot_price;
-    }
-}
-
 double Scheduler::silence_limit() const {
   if (settings_.tuning.heartbeat_timeout_s > 0) return settings_.tuning.heartbeat_timeout_s;
   return std::max(3 * settings_.heartbeat_interval_s, std::min(settings_.lease_s / 2, 12.0));
@@ -56,14 +48,14 @@
 // listed any more by then.
 double Scheduler::patience() const {
   double boot = 0;
-  for (const MachineType& t : types_) boot = std::max(boot, t.boot_s);
+  for (const MachineType& t : catalog_.types) boot = std::max(boot, t.boot_s);
   return std::max({silence_limit(), 1.5 * settings_.lease_s, kReplace * boot});
 }
 
 // A cancelled job's tasks must be gone in cancel_s: their machine is not waited for.
 bool Scheduler::holds_cancelled(const Machine& m) const {
   return std::any_of(m.tasks.begin(), m.tasks.end(),
-                     [&](const auto& t) { return jobs_[t.first]->state == JobState::cancelled; });
+                     [&](const auto& t) { return jobs_[t.first].state == JobState::cancelled; });
 }
 
 // Whether tasks that were cancelled a good while ago may still be there. A machine that has not
@@ -71,7 +63,7 @@
 bool Scheduler::holds_overdue(const Machine& m, double now) const {
   const bool unregistered_long = now - started_ > kTakeoverGrace;
   return std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& t) {
-    const Job& job = *jobs_[t.first];
+    const Job& job = jobs_[t.first];
     if (job.state != JobState::cancelled) return false;
     const double age = now - job.cancelled_at;
     return age > kCancelPatience * settings_.cancel_s &&
@@ -83,9 +75,9 @@
   for (const auto& m : machines_) {
     if (m->state == MachineState::terminating || m->state == MachineState::terminated) continue;
     if (holds_overdue(*m, now))
-      terminate(*m, "holds tasks of a cancelled job");
+      MachineTable::terminate(*m, "holds tasks of a cancelled job");
     else if (m->unreachable() && holds_cancelled(*m))
-      terminate(*m, "holds tasks of a cancelled job and takes up nothing");
+      MachineTable::terminate(*m, "holds tasks of a cancelled job and takes up nothing");
   }
 }
 
@@ -103,15 +95,15 @@
 Index Scheduler::demand_type(const Job& job) const {
   Index best = kNone;
   double best_price = 0;
-  for (Index t = 0; t < types_.size(); ++t) {
+  for (Index t = 0; t < catalog_.types.size(); ++t) {
     if (!job.types.empty() && !job.types[t]) continue;
-    if (!job.spec.per_task.fits_in(types_[t].size)) continue;
-    const auto& zones = types_[t].zones;
+    if (!job.spec.per_task.fits_in(catalog_.types[t].size)) continue;
+    const auto& zones = catalog_.types[t].zones;
     if (!job.spec.zone.empty() &&
         std::find(zones.begin(), zones.end(), job.spec.zone) == zones.end())
       continue;
-    const double price = job.spec.per_task.dominant_share(types_[t].size) *
-                         (job.spec.spot ? types_[t].spot_price : types_[t].price);
+    const double price = job.spec.per_task.dominant_share(catalog_.types[t].size) *
+                         (job.spec.spot ? catalog_.types[t].spot_price : catalog_.types[t].price);
     if (best == kNone || price < best_price) {
       best = t;
       best_price = price;
@@ -138,14 +130,14 @@
     b.largest = std::max(b.largest, n);
     if (!job.spec.spot) b.largest_dear = std::max(b.largest_dear, n);
   };
-  const auto& zones = types_[type].zones;
+  const auto& zones = catalog_.types[type].zones;
   if (job.zone != kNone) return add(job.zone);
   if (job.waiting.empty()) return;
   if (job.spec.single_zone) {
     // It goes on where its tasks are, or else where most machines are.
     for (const auto& [t, a] : job.attempts)
-      if (a.state != AttemptState::ended) return reserve(machines_[a.machine]->zone, 1);
-    Index best = zone_names_.find(zones.front());
+      if (a.state != AttemptState::ended) return reserve(machines_[a.machine].zone, 1);
+    Index best = catalog_.zones.find(zones.front());
     auto first = machines.find({type, best});
     size_t most = first == machines.end() ? 0 : first->second;
     for (auto it = machines.lower_bound({type, 0}); it != machines.end(); ++it) {
@@ -160,8 +152,8 @@
   if (!job.spec.spread_zones || job.tasks() < 2 || zones.size() < 2) return;
   // At most half of it, rounded up, in one zone: the other half in a second one.
   const double half = std::floor(job.tasks() / 2.0) / job.tasks();
-  reserve(zone_names_.find(zones[0]), half);
-  reserve(zone_names_.find(zones[1]), half);
+  reserve(catalog_.zones.find(zones[0]), half);
+  reserve(catalog_.zones.find(zones[1]), half);
 }
 
 Scheduler::MachineCounts Scheduler::count_machines() const {
@@ -182,7 +174,7 @@
     t.demand = t.ordinary = {};
     t.bound.clear();
   }
-  std::vector<Resources> asked(team_names_.size());
+  std::vector<Resources> asked(catalog_.teams.size());
   const MachineCounts machines = count_machines();
   for (const auto& job : jobs_) {
     if (!job || job->is_finished()) continue;
@@ -190,7 +182,7 @@
     if (t == kNone) continue;
     double n = job->tasks() - job->done_count;
     // A job that fails everywhere is tried again where there is room; its many tasks ask for none.
-    if (faulty(*job) && !job->is_gang()) n = std::min(n, 1.0);
+    if (FaultDetector::is_faulty(*job) && !job->is_gang()) n = std::min(n, 1.0);
     Resources d = job->spec.per_task.scaled(n);
     // What a team's limit keeps from running is no demand for machines.
     for (const TeamQuota& team : settings_.teams) {
@@ -208,39 +200,20 @@
     add_zone_demand(*job, t, d, machines);
     if (!job->spec.spot) type_state_[t].ordinary += d;
   }
-  for (Index t = 0; t < types_.size(); ++t) {
+  for (Index t = 0; t < catalog_.types.size(); ++t) {
     TypeState& s = type_state_[t];
     s.forecast.sample(now, s.demand);
-    s.target = s.forecast.target(types_[t].size);
+    s.target = s.forecast.target(catalog_.types[t].size);
     const Resources spare = s.forecast.spare();
     spdlog::debug(
         "type {}: demand {:.0f} cpus {:.0f} gpus {:.0f} gb, ahead {:.0f}/{:.0f}/{:.0f}, "
         "spare {:.0f}/{:.0f}/{:.0f}, target {:.0f}",
-        types_[t].name, s.demand.cpus, s.demand.gpus, s.demand.memory_gb, s.forecast.ahead().cpus,
-        s.forecast.ahead().gpus, s.forecast.ahead().memory_gb, spare.cpus, spare.gpus,
-        spare.memory_gb, s.target);
+        catalog_.types[t].name, s.demand.cpus, s.demand.gpus, s.demand.memory_gb,
+        s.forecast.ahead().cpus, s.forecast.ahead().gpus, s.forecast.ahead().memory_gb, spare.cpus,
+        spare.gpus, spare.memory_gb, s.target);
   }
 }
 
-// A machine that this leader rented has come up.
-void Scheduler::record_boot(const Machine& m, double now) {
-  if (m.type == kNone || m.rented_at <= started_) return;
-  type_state_[m.type].boots.record(now, now - m.rented_at);
-}
-
-const BootStatistics& Scheduler::boots_of(const Machine& m) const {
-  return m.type == kNone ? unknown_type_boots_ : type_state_[m.type].boots;
-}
-
-void Scheduler::update_boots(double now) {
-  std::vector<size_t> overdue(types_.size());
-  for (const auto& m : machines_)
-    if (m->state == MachineState::booting && !m->was_up && m->type != kNone &&
-        m->rented_at > started_ && now - m->rented_at > boots_of(*m).overdue_after())
-      ++overdue[m->type];
-  for (Index t = 0; t < types_.size(); ++t) type_state_[t].boots.update(now, overdue[t]);
-}
-
 bool Scheduler::counts_as_capacity(const Machine& m, double now) const {
   if (m.cordoned || m.reclaim_at >= 0 || m.returning || m.unreachable()) return false;
   if (m.state == MachineState::booting) {
@@ -249,24 +222,15 @@
     if (m.was_up) return now - m.last_heartbeat <= registration_limit(m);
     // Late ones are replaced, but not while nearly all are late: the cloud would be as slow with
     // those that took their place, and each would be rented twice.
-    const BootStatistics& boots = boots_of(m);
+    const BootStatistics& boots = boot_tracker_.statistics_of(m);
     return now - m.rented_at <= (boots.most_are_late() ? boots.lost_after() : boots.late_after());
   }
   if (m.state != MachineState::ready) return false;
   return now - m.last_heartbeat <= (mass_silence_ ? patience() : silence_limit());
 }
 
-void Scheduler::drain(Machine& m, double now, const char* why) {
-  if (m.state != MachineState::ready) return;
-  if (set_state(m, MachineState::draining, why)) m.draining_since = now;
-}
-
-void Scheduler::terminate(Machine& m, const char* why) {
-  set_state(m, MachineState::terminating, why);
-}
-
 double Scheduler::machines_for(Index type, const Resources& demand) const {
-  const Resources size = types_[type].size.scaled(settings_.tuning.safe_fraction);
+  const Resources size = catalog_.types[type].size.scaled(settings_.tuning.safe_fraction);
   return std::ceil(demand.dominant_share(size) - 1e-9);
 }
 
@@ -275,7 +239,7 @@
   for (const auto& m : machines_)
     if (m->type == ti && m->zone == zone && m->state == MachineState::draining && !m->cordoned &&
         m->reclaim_at < 0 && !(ordinary && m->spot))
-      return set_state(*m, MachineState::ready, "needed again in its zone");
+      return MachineTable::set_state(*m, MachineState::ready, "needed again in its zone");
   return false;
 }
 
@@ -285,9 +249,10 @@
   if (auto r = refused.find({zone, spot}); r != refused.end() && now < r->second) return false;
   RentalRequest h;
   // Invariant 4: the token makes the name unique among leaders, the number within this one.
-  h.name = "h-" + std::to_string(fencing_token_) + "-" + std::to_string(++next_rental_number_);
-  h.type = types_[ti].name;
-  h.zone = zone_names_.name(zone);
+  h.name =
+      "h-" + std::to_string(claim_.fencing_token()) + "-" + std::to_string(++next_rental_number_);
+  h.type = catalog_.types[ti].name;
+  h.zone = catalog_.zones.name(zone);
   h.spot = spot;
   h.count = static_cast<int>(std::clamp(count, 1.0, kMostHired));
   rental_requests_.push_back(h);
@@ -297,10 +262,10 @@
 
 void Scheduler::plan_type(Index ti, double now) {
   TypeState& s = type_state_[ti];
-  const MachineType& type = types_[ti];
+  const MachineType& type = catalog_.types[ti];
   double total = 0, ordinary = 0;
   std::map<Index, double> per_zone, ordinary_in;
-  for (const std::string& z : type.zones) per_zone[zone_names_.find(z)] = 0;
+  for (const std::string& z : type.zones) per_zone[catalog_.zones.find(z)] = 0;
   for (const auto& mp : machines_) {
     const Machine& m = *mp;
     if (m.type != ti || !counts_as_capacity(m, now)) continue;
@@ -316,7 +281,7 @@
     if (h.type == type.name) {
       asked += h.count;
       if (!h.spot) ordinary += h.count;
-      per_zone[zone_names_.find(h.zone)] += h.count;
+      per_zone[catalog_.zones.find(h.zone)] += h.count;
     }
   total += asked;
   // Exception to the design's one count per type: spot machines cannot serve jobs that may not
@@ -348,7 +313,7 @@
     if (m.type != ti || m.state != MachineState::draining || m.cordoned || m.reclaim_at >= 0)
       continue;
     if (ordinary < ordinary_need && m.spot && total >= s.target) continue;
-    if (set_state(m, MachineState::ready, "needed again")) --gap;
+    if (MachineTable::set_state(m, MachineState::ready, "needed again")) --gap;
   }
   if (gap <= 0 || asked > 0 || now < rent_at_) return;
   const bool spot_demand =
@@ -381,8 +346,8 @@
 }
 
 void Scheduler::plan_fleet(double now) {
-  for (Index t = 0; t < types_.size(); ++t) plan_type(t, now);
-  for (Index t = 0; t < types_.size(); ++t) {
+  for (Index t = 0; t < catalog_.types.size(); ++t) plan_type(t, now);
+  for (Index t = 0; t < catalog_.types.size(); ++t) {
     TypeState& s = type_state_[t];
     if (s.above_since < 0 || now - s.above_since < settings_.tuning.scale_in_delay_s) continue;
     drain_surplus(t, now);
@@ -405,22 +370,22 @@
     ordinary_in[m->zone] += !m->spot;
     // Of equally empty ones, the dearer goes first.
     if (m->state != MachineState::ready) continue;
-    const double keep = holds_replicas(*m) ? kKeepReplicas : 0;
-    emptiest.emplace_back(m->used.dominant_share(types_[t].size) + (m->spot ? 1e-3 : 0) + keep,
-                          m->index);
+    const double keep = replicas_.holds_replicas(*m) ? kKeepReplicas : 0;
+    emptiest.emplace_back(
+        m->used.dominant_share(catalog_.types[t].size) + (m->spot ? 1e-3 : 0) + keep, m->index);
   }
   // Each replica that moves is missed meanwhile: machines with some go one at a time.
   bool replicas_move = std::any_of(machines_.begin(), machines_.end(), [this](const auto& m) {
-    return m->state == MachineState::draining && holds_replicas(*m);
+    return m->state == MachineState::draining && replicas_.holds_replicas(*m);
   });
   std::sort(emptiest.begin(), emptiest.end());
   const double surplus = static_cast<double>(total) - s.target;
   double left = std::max(1.0, std::ceil(kDrainShare * surplus));
   for (const auto& [filled, i] : emptiest) {
     if (left <= 0) break;
-    Machine& m = *machines_[i];
-    const bool with_replicas = holds_replicas(m);
-    if (with_replicas && (replicas_move || !holds_replicas_alone(m))) continue;
+    Machine& m = machines_[i];
+    const bool with_replicas = replicas_.holds_replicas(m);
+    if (with_replicas && (replicas_move || !replicas_.holds_only_replicas(m))) continue;
     if (!m.spot && static_cast<double>(ordinary) <= need) continue;
     if (auto b = s.bound.find(m.zone); b != s.bound.end()) {
       if (per_zone[m.zone] <= floor_of(t, b->second, false)) continue;
@@ -431,7 +396,7 @@
     ordinary_in[m.zone] -= !m.spot;
     if (!m.spot) --ordinary;
     --left;
-    drain(m, now, "lull");
+    MachineTable::drain(m, now, "lull");
   }
 }
 
@@ -457,7 +422,7 @@
   // They come back one by one: the last of a cut are waited for as the first were.
   if (is_mass_silence(now)) mass_silence_until_ = now + kTakeoverGrace;
   mass_silence_ = now < mass_silence_until_;
-  update_boots(now);
+  boot_tracker_.update(now);
   // Many machines that acknowledge no command at once are our own slowness.
   size_t registered = 0, unreachable_machines = 0;
   for (const auto& m : machines_)
@@ -477,11 +442,11 @@
     if (m.state != MachineState::terminating && m.state != MachineState::terminated) {
       if (m.unacknowledged_since >= 0 && !ours &&
           (now - m.unacknowledged_since > kUnreachableFor || holds_cancelled(m))) {
-        terminate(m, "takes up nothing of what it is answered");
+        MachineTable::terminate(m, "takes up nothing of what it is answered");
         continue;
       }
       if (holds_overdue(m, now)) {
-        terminate(m, "holds tasks of a cancelled job");
+        MachineTable::terminate(m, "holds tasks of a cancelled job");
         continue;
       }
     }
@@ -490,14 +455,15 @@
         // One that was up under a predecessor has work on it, and is waited for as such.
         if (m.heartbeats_with_older_token >= 3 && now - m.older_token_since > kUnreachableFor &&
             (!m.was_up || holds_cancelled(m))) {
-          terminate(m, "takes up none of our answers");
+          MachineTable::terminate(m, "takes up none of our answers");
         } else if (m.was_up) {
           // The ledger has tasks on it, so it was up under a predecessor.
-          if (silent > registration_limit(m)) terminate(m, "not heard since the takeover");
+          if (silent > registration_limit(m))
+            MachineTable::terminate(m, "not heard since the takeover");
         } else if (m.unlisted_at >= 0 && now - m.rented_at > 2 * settings_.list_lag_s + 5) {
-          terminate(m, "rented under a predecessor and not listed");
-        } else if (now - m.rented_at > boots_of(m).lost_after()) {
-          terminate(m, "never came up");
+          MachineTable::terminate(m, "rented under a predecessor and not listed");
+        } else if (now - m.rented_at > boot_tracker_.statistics_of(m).lost_after()) {
+          MachineTable::terminate(m, "never came up");
         }
         break;
       }
@@ -505,22 +471,22 @@
       case MachineState::draining:
         if (m.reclaim_at >= 0 && now > m.reclaim_at + 1 &&
             silent > 1.5 * settings_.heartbeat_interval_s) {
-          terminate(m, "taken back");
+          MachineTable::terminate(m, "taken back");
         } else if (silent > waits_for(m)) {
           // Silence proves nothing; the cloud's answer to returning it does (invariant 3).
-          terminate(m, "silent");
+          MachineTable::terminate(m, "silent");
         } else if (m.unlisted_at >= 0 && silent > 2 * settings_.heartbeat_interval_s) {
-          terminate(m, "silent and not listed any more");
+          MachineTable::terminate(m, "silent and not listed any more");
         } else if (m.state == MachineState::draining) {
           if (m.tasks.empty() && !m.has_unknown_tasks) {
-            terminate(m, "drained");
-          } else if (holds_replicas_alone(m)) {
-            move_replicas(m, now);
+            MachineTable::terminate(m, "drained");
+          } else if (replicas_.holds_only_replicas(m)) {
+            replicas_.move_replicas(m, now);
           } else if (now - m.draining_since > settings_.tuning.drain_deadline_s) {
             for (const auto& [j, t] : m.tasks) {
-              Job& job = *jobs_[j];
-              stop_with_gang(job, job.attempts.at(t),
-                             job.spec.checkpoint_duration_s + kGraceMargin);
+              Job& job = jobs_[j];
+              lifecycle_.stop_with_gang(job, job.attempts.at(t),
+                                        job.spec.checkpoint_duration_s + kGraceMargin);
             }
           }
         }
@@ -533,7 +499,7 @@
 }
 
 std::optional<RentalRequest> Scheduler::next_rental_request(double now) {
-  if (has_lost_leadership_ || rental_in_flight_ || rental_requests_.empty() || now < rent_retry_at_)
+  if (claim_.is_lost() || rental_in_flight_ || rental_requests_.empty() || now < rent_retry_at_)
     return std::nullopt;
   rental_in_flight_ = true;
   return rental_requests_.front();
@@ -543,18 +509,18 @@
                                  const std::vector<std::string>& names, double now) {
   rental_in_flight_ = false;
   if (rental_requests_.empty() || rental_requests_.front().name != request.name) return;
-  const Index t = type_names_.find(request.type);
-  const Index z = zone_names_.intern(request.zone);
+  const Index t = catalog_.type_names.find(request.type);
+  const Index z = catalog_.zones.intern(request.zone);
   switch (outcome) {
     case CloudOutcome::done:
       for (const std::string& n : names) {
-        Machine& m = machine(n, now);
+        Machine& m = machines_.get_or_add(n, now);
         if (m.state != MachineState::booting || m.registered) continue;
         m.type = t;
         m.zone = z;
         m.spot = request.spot;
         m.rented_at = now;
-        rented_list_.mark_changed(m.index);
+        machines_.mark_changed(m);
       }
       spdlog::info("hired {} of {} {} {} machines in {}", names.size(), request.count,
                    request.spot ? "spot" : "ordinary", request.type, request.zone);
@@ -579,7 +545,7 @@
 
 std::vector<std::string> Scheduler::next_return(double now, bool cancelled_only) {
   std::vector<std::string> out;
-  if (has_lost_leadership_) return out;
+  if (claim_.is_lost()) return out;
   for (const auto& m : machines_) {
     if (m->state != MachineState::terminating || m->returning || now < m->return_after) continue;
     if (cancelled_only && !holds_cancelled(*m)) continue;
@@ -591,17 +557,17 @@
 }
 
 void Scheduler::drop_machine(Machine& m, double now, const char* why) {
-  if (!set_state(m, MachineState::terminated, why)) return;
+  if (!MachineTable::set_state(m, MachineState::terminated, why)) return;
   const auto here = m.tasks;
-  for (const auto& [j, t] : here) end_attempt(*jobs_[j], t, ExitCause::none, now, why);
-  rented_list_.mark_changed(m.index);
+  for (const auto& [j, t] : here) lifecycle_.end(jobs_[j], t, ExitCause::none, now, why);
+  machines_.mark_changed(m);
 }
 
 void Scheduler::on_return(const std::vector<std::string>& names, CloudOutcome outcome, double now) {
   for (const std::string& n : names) {
-    const Index i = machine_names_.find(n);
+    const Index i = machines_.index_of(n);
     if (i == kNone) continue;
-    Machine& m = *machines_[i];
+    Machine& m = machines_[i];
     m.returning = false;
     if (outcome == CloudOutcome::done)
       drop_machine(m, now, "returned");
@@ -613,16 +579,16 @@
 void Scheduler::on_machine_list(const std::vector<ListedMachine>& list, double asked, double now) {
   std::set<Index> seen;
   for (const ListedMachine& l : list) {
-    Machine& m = machine(l.name, now);
+    Machine& m = machines_.get_or_add(l.name, now);
     seen.insert(m.index);
     if (m.state == MachineState::terminated) continue;  // the list lags
     m.listed = true;
     m.unlisted_at = -1;
     if (m.type == kNone) {
-      m.type = type_names_.find(l.type);
-      m.zone = zone_names_.intern(l.zone);
+      m.type = catalog_.type_names.find(l.type);
+      m.zone = catalog_.zones.intern(l.zone);
       m.spot = l.spot;
-      rented_list_.mark_changed(m.index);
+      machines_.mark_changed(m);
     }
     if (m.addr.empty()) m.addr = l.addr;
     if (!m.registered) m.rented_at = std::min(m.rented_at, now - l.age_s);
@@ -631,7 +597,7 @@
       m.last_heartbeat = now;  // from here on its silence means something, not since it was rented
     }
     if (l.state == ListedMachine::State::failed && m.state != MachineState::terminating)
-      terminate(m, "failed");
+      MachineTable::terminate(m, "failed");
   }
   for (const auto& mp : machines_) {
     Machine& m = *mp;
@@ -648,7 +614,7 @@
   if (!rented_list_.can_write(now)) return std::nullopt;
   const auto listed = [this](Index i) -> std::optional<RentedMachine> {
     if (i >= machines_.size()) return std::nullopt;
-    const Machine& m = *machines_[i];
+    const Machine& m = machines_[i];
     if (m.state == MachineState::terminated || m.type == kNone) return std::nullopt;
     return RentedMachine{m.name, m.type, m.zone, m.spot};
   };
@@ -656,8 +622,9 @@
   InFlightTransaction f;
   f.kind = InFlightTransaction::Kind::fleet;
   f.txn.transaction_id = transaction_id_of(id);
-  f.txn.conditions = {{ledger::kLeaderKey, fencing_token_}};
-  rented_list_.write(now, settings_.lasting_txn_ops(), listed, type_names_, zone_names_, f.txn);
+  f.txn.conditions = {{ledger::kLeaderKey, claim_.fencing_token()}};
+  rented_list_.write(now, settings_.lasting_txn_ops(), listed, catalog_.type_names, catalog_.zones,
+                     f.txn);
   PendingTransaction p{id, f.txn, false};
   in_flight_transactions_[id] = std::move(f);
   return p;
@@ -666,8 +633,8 @@
 // The rented list as a predecessor left it.
 void Scheduler::load_fleet(const LedgerCache& ledger_cache, double now) {
   for (const RentedMachine& rented :
-       rented_list_.load(ledger_cache.fleet(), type_names_, zone_names_)) {
-    Machine& m = machine(rented.name, now);
+       rented_list_.load(ledger_cache.fleet(), catalog_.type_names, catalog_.zones)) {
+    Machine& m = machines_.get_or_add(rented.name, now);
     m.type = rented.type;
     m.zone = rented.zone;
     m.spot = rented.spot;
--- /dev/null
+++ b/src/scheduler/job_loader.cpp
@@ -0,0 +1,255 @@
+#include "scheduler/job_loader.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+#include <vector>
+
+namespace rookdyke {
+
+namespace {
+
+// Tasks of a job as a page has them, those of them that count: up to `end`.
+struct ChunkSlice {
+  uint32_t end = 0;
+  const CachedChunk* chunk = nullptr;
+};
+using ChunkSlices = std::map<uint32_t, ChunkSlice>;  // by first task, disjoint
+
+// The tasks that a chunk of the ledger is about; empty: they are none of this job's.
+std::optional<ledger::TaskRange> tasks_of(const Job& job, const ChunkKey& key,
+                                          const CachedChunk& chunk) {
+  const uint64_t begin = uint64_t{key.n} * job.chunk_size;
+  const uint64_t end = std::min<uint64_t>(job.tasks(), begin + job.chunk_size);
+  if (begin >= end) return std::nullopt;
+  if (!chunk.range)
+    return ledger::TaskRange{static_cast<uint32_t>(begin), static_cast<uint32_t>(end - begin)};
+  if (chunk.range->first < begin || uint64_t{chunk.range->first} + chunk.range->count > end)
+    return std::nullopt;
+  return chunk.range;
+}
+
+// Lays a slice over those that are there: what it covers of them counts no more.
+void overlay(ChunkSlices& slices, uint32_t first, ChunkSlice slice) {
+  auto it = slices.upper_bound(first);
+  if (it != slices.begin()) --it;
+  while (it != slices.end() && it->first < slice.end) {
+    const auto [old_first, old] = *it;
+    if (old.end <= first) {
+      ++it;
+      continue;
+    }
+    it = slices.erase(it);
+    if (old_first < first) slices[old_first] = {first, old.chunk};
+    if (old.end > slice.end) it = slices.insert({slice.end, old}).first;
+  }
+  slices[first] = slice;
+}
+
+// Says which of a chunk's tasks are not its own; they are passed over.
+void log_foreign_tasks(const Job& job, const ChunkKey& key, const CachedChunk& cached,
+                       const ledger::TaskRange& tasks) {
+  const uint32_t end = tasks.first + tasks.count;
+  size_t foreign = 0;
+  for (const auto& [a, b] : cached.chunk.done.ranges()) foreign += a < tasks.first || b >= end;
+  for (const ledger::LiveAttempt& live : cached.chunk.live)
+    foreign += live.task < tasks.first || live.task >= end;
+  if (foreign > 0)
+    spdlog::error("ledger: chunk {} of job {}: {} entries are not of its tasks", key.n, job.spec.id,
+                  foreign);
+}
+
+// Of two pages that hold the same tasks, the one that was written last counts (ledger/rows.h).
+ChunkSlices latest_slices(Job& job, const CachedJob& row) {
+  std::vector<std::pair<const ChunkKey*, const CachedChunk*>> by_version;
+  for (const auto& [key, chunk] : row.chunks) by_version.emplace_back(&key, &chunk);
+  std::stable_sort(by_version.begin(), by_version.end(), [](const auto& a, const auto& b) {
+    return a.second->version < b.second->version;
+  });
+  ChunkSlices slices;
+  for (const auto& [key, cached] : by_version) {
+    const auto tasks = tasks_of(job, *key, *cached);
+    if (!tasks) {
+      spdlog::error("ledger: job {} has no chunk {}", job.spec.id, key->n);
+      continue;
+    }
+    job.highest_attempt = std::max(job.highest_attempt, cached->chunk.highest_attempt);
+    overlay(slices, tasks->first, {tasks->first + tasks->count, cached});
+    log_foreign_tasks(job, *key, *cached, *tasks);
+  }
+  return slices;
+}
+
+}  // namespace
+
+// ---------------------------------------------------------------- one job
+
+Job& JobLoader::add_job(const CachedJob& row, const std::string& id, double now) {
+  Job& job = jobs_.add(id);
+  if (row.row.spec) job.spec = *row.row.spec;
+  job.spec.id = id;
+  job.spec.tasks = row.row.tasks;
+  job.version = row.version;
+  job.timestamp_s = row.row.timestamp_s;
+  job.seen_at = now;
+  if (day_offset_) job.seen_at = std::min(now, job.timestamp_s - *day_offset_);
+  job.chunk_size = std::max(1u, row.row.chunk_size);
+  resolve_names(job);
+  add_start_promises(job);
+  load_chunks(job, row, now);
+  job.done_count = job.done.count();
+  for (const MachineType& type : catalog_.types) {
+    const double share = job.spec.per_task.dominant_share(type.size);
+    if (job.share == 0 || share < job.share) job.share = share;
+  }
+  if (row.row.status == ledger::JobStatus::open) collect_waiting_tasks(job, row.version);
+  return job;
+}
+
+void JobLoader::resolve_names(Job& job) {
+  const JobSpec& spec = job.spec;
+  job.job_class = catalog_.job_classes.intern(spec.job_class);
+  job.team = catalog_.teams.intern(spec.team);
+  job.image = catalog_.images.intern(spec.image);
+  if (!spec.zone.empty()) job.zone = catalog_.zones.intern(spec.zone);
+  if (spec.types.empty()) return;
+  job.types.assign(catalog_.types.size(), false);
+  for (const std::string& name : spec.types)
+    if (const Index type = catalog_.type_names.find(name); type != kNone) job.types[type] = true;
+}
+
+void JobLoader::add_start_promises(Job& job) {
+  const double boot_s = catalog_.shortest_boot_s();
+  for (const Objective& objective : settings_.objectives) {
+    if (!objective.start || objective.job_class != job.spec.job_class) continue;
+    job.start_within.push_back(objective.within_s);
+    // A promise that no machine rented for it could keep; a longer one is kept by the order alone.
+    job.has_start_promise = job.has_start_promise || objective.within_s < boot_s;
+  }
+  std::sort(job.start_within.begin(), job.start_within.end());
+  // A service is wanted at once, and again at once wherever a replica falls.
+  job.has_start_promise = job.has_start_promise || job.is_service();
+  if (job.has_start_promise) catalog_.prompt_start_images.insert(job.image);
+}
+
+// `version` is of the job's row. A chunk without a page was never written, unless it lies in a page
+// that cannot be read: then it is unknown what runs of it.
+void JobLoader::collect_waiting_tasks(Job& job, uint64_t version) {
+  for (const auto& [first, place] : job.chunks) {
+    if (place.page == kNone && version < pages_.unreadable_revision) continue;
+    for (uint32_t task = first; task < first + place.count; ++task)
+      if (!job.done.has(task) && !job.attempts.count(task))
+        job.waiting.insert(job.waiting.end(), task);
+  }
+  if (job.done_count == job.tasks()) jobs_.mark_completed(job);
+}
+
+// What no page holds was never written: it is split at the bounds of the job's chunks.
+void JobLoader::load_chunks(Job& job, const CachedJob& row, double now) {
+  uint32_t next = 0;
+  const auto add_unwritten = [&](uint32_t end) {
+    for (; next < end; next += job.chunks.at(next).count)
+      job.chunks[next] = {std::min(end - next, job.chunk_size - next % job.chunk_size), kNone};
+  };
+  for (const auto& [first, slice] : latest_slices(job, row)) {
+    add_unwritten(first);
+    job.chunks[first] = {slice.end - first, kNone};
+    Page& page = pages_.at_least(slice.chunk->page);
+    pages_.add_chunk(job, first, slice.chunk->page);
+    page.kind = job.page_kind();
+    load_tasks(job, {first, slice.end - first}, slice.chunk->chunk, now);
+    next = slice.end;
+  }
+  add_unwritten(job.tasks());
+}
+
+void JobLoader::load_tasks(Job& job, const ledger::TaskRange& tasks, const ledger::Chunk& chunk,
+                           double now) {
+  const uint32_t end = tasks.first + tasks.count;
+  // A replica is never done: version 0.1 wrote that of services, which it took for arrays.
+  if (!job.is_service())
+    for (const auto& [a, b] : chunk.done.ranges())
+      for (uint32_t task = std::max(a, tasks.first); task < end && task <= b; ++task)
+        job.done.add(task);
+  for (const ledger::LiveAttempt& live : chunk.live) {
+    // A second attempt of a task is passed over.
+    if (live.task < tasks.first || live.task >= end || job.attempts.count(live.task)) continue;
+    lifecycle_.restore(job, live, now);
+  }
+}
+
+// cancel_s does not begin anew with each leader: it runs from when the row was written.
+void JobLoader::cancel(Job& job, const CachedJob& row, double now) {
+  double cancelled_at = now;
+  if (day_offset_ && row.row.timestamp_s > 0)
+    cancelled_at = std::min(now, row.row.timestamp_s - *day_offset_);
+  lifecycle_.cancel(job, row.version, cancelled_at);
+}
+
+// ---------------------------------------------------------------- taking over
+
+void JobLoader::load_pages(const LedgerCache& ledger) {
+  for (const auto& [n, cached] : ledger.pages()) {
+    Page& page = pages_.at_least(n);
+    page.version = cached.version;
+    page.readable = cached.readable;
+    if (!cached.readable)
+      pages_.unreadable_revision = std::max(pages_.unreadable_revision, cached.version);
+  }
+}
+
+void JobLoader::load(const LedgerCache& ledger, double now) {
+  load_pages(ledger);
+  for (const auto& [id, row] : ledger.jobs()) load_job(row, id, now);
+}
+
+void JobLoader::load_job(const CachedJob& row, const std::string& id, double now) {
+  if (row.version == 0 || !row.readable) return keep_unreadable_job(id, row);
+  // What pages still say of a job that is done serves nobody; of a cancelled one, its tasks may
+  // still be on machines.
+  const ledger::JobStatus status = row.row.status;
+  if (status == ledger::JobStatus::done) return;
+  if (status == ledger::JobStatus::cancelled && row.chunks.empty()) return;
+  Job& job = add_job(row, id, now);
+  if (status == ledger::JobStatus::cancelled) return cancel(job, row, now);
+  // A gang whose start was committed in part, or that lost a task: it starts anew as a whole.
+  if (job.is_gang() && !job.attempts.empty() && !job.waiting.empty())
+    for (auto& [task, attempt] : job.attempts) lifecycle_.stop(job, attempt, 0);
+}
+
+// What pages say of a job whose row cannot be read stays in them as it is.
+void JobLoader::keep_unreadable_job(const std::string& id, const CachedJob& row) {
+  for (const auto& [key, cached] : row.chunks) {
+    Page& page = pages_.at_least(cached.page);
+    page.unreadable_jobs.push_back({id, key.n, cached.chunk, cached.range});
+    page.reserved += ledger::chunk_reserve(id, static_cast<uint32_t>(cached.chunk.live.size()));
+  }
+}
+
+// ---------------------------------------------------------------- rows that change
+
+bool JobLoader::on_job_row(const CachedJob& row, const std::string& id, double now) {
+  // An older row of a job that is over, seen late, must not bring it back (rule went_back).
+  const Index known = jobs_.index_of(id);
+  if (known != kNone && jobs_.was_erased(known)) return false;
+  Job* job = jobs_.find(known);
+  if (!job) {
+    if (row.row.status != ledger::JobStatus::open) return false;
+    add_job(row, id, now);
+    spdlog::debug("job {}: {} tasks of {}", id, row.row.tasks, row.row.spec->job_class);
+    return true;
+  }
+  if (row.version <= job->version) return false;
+  job->stale_since = -1;
+  if (row.row.status == ledger::JobStatus::cancelled) {
+    cancel(*job, row, now);
+  } else if (row.row.status == ledger::JobStatus::done && job->state != JobState::done &&
+             job->state != JobState::closing) {
+    // Only a leader writes this; where a write of ours is open, its result will say so.
+    claim_.lose("job " + id + " was closed by somebody else");
+  }
+  return false;
+}
+
+}  // namespace rookdyke
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -69,7 +69,7 @@
 void Scheduler::find_guaranteed() {
   for (const TeamQuota& t : settings_.teams) {
     if (t.cpus <= 0 && t.gpus <= 0) continue;
-    const Index team = team_names_.find(t.name);
+    const Index team = catalog_.teams.find(t.name);
     std::vector<Job*> v;
     for (const auto& job : jobs_)
       if (job && job->team == team && !job->is_finished()) v.push_back(job.get());
@@ -136,56 +136,8 @@
   for (const Entry& e : v) order_.push_back(e.job);
 }
 
-bool Scheduler::within_limit(const Job& job, uint32_t count) const {
-  for (const TeamQuota& t : settings_.teams) {
-    if (t.name != job.spec.team) continue;
-    const Resources& used = team_used_[job.team];
-    if (t.cpus_max > 0 && used.cpus + job.spec.per_task.cpus * count > t.cpus_max + 1e-9)
-      return false;
-    if (t.gpus_max > 0 && used.gpus + job.spec.per_task.gpus * count > t.gpus_max + 1e-9)
-      return false;
-    return true;
-  }
-  return false;  // an unknown team is never let in; see 422
-}
-
-// Old attempts count until they are proven gone: all in job.attempts that have not ended.
-bool Scheduler::zone_allows(const Job& job, Index zone, uint32_t more) const {
-  if (job.zone != kNone && zone != job.zone) return false;
-  if (!job.spec.single_zone && !job.spec.spread_zones) return true;
-  uint32_t here = 0;
-  for (const auto& [t, a] : job.attempts) {
-    if (a.state == AttemptState::ended) continue;
-    if (machines_[a.machine]->zone == zone)
-      ++here;
-    else if (job.spec.single_zone)
-      return false;
-  }
-  return !job.spec.spread_zones || here + more <= (job.tasks() + 1) / 2;
-}
-
-// Whether anything new may be placed there at all: what does not depend on the job.
-bool Scheduler::takes_work(const Machine& m, double now) const {
-  if (!m.usable() || m.type == kNone || now < m.suspect_until) return false;
-  // A machine that missed a report may be gone already.
-  return now - m.last_heartbeat <= 1.7 * settings_.heartbeat_interval_s;
-}
-
-// Whether the job may run there; of machines that take work.
-bool Scheduler::may_run(const Job& job, const Machine& m, double now) const {
-  if (!job.types.empty() && !job.types[m.type]) return false;
-  if (m.spot && !job.spec.spot) return false;
-  if (job.zone != kNone && m.zone != job.zone) return false;
-  if (m.reserved_for != kNone && m.reserved_for != job.id && now < m.reserved_until) return false;
-  if (!m.unanswered_starts.empty() &&
-      std::any_of(m.unanswered_starts.begin(), m.unanswered_starts.end(),
-                  [&](const auto& u) { return std::get<0>(u) == job.spec.id; }))
-    return false;  // it still lists an older attempt, which must not be cleared
-  return !(job.failed_machines.count(m.index) && job.failed_machines.size() < 3);
-}
-
 double Scheduler::score(const Job& job, const Machine& m) const {
-  const MachineType& type = types_[m.type];
+  const MachineType& type = catalog_.types[m.type];
   double s = 0;
   if (!m.images.count(job.image)) {
     const double fetch = type.fetch_time_s(job.spec.image_gb);
@@ -193,7 +145,7 @@
     size_t others = 0;
     Index last = kNone;
     for (const auto& [j, t] : m.tasks) {
-      const Job& other = *jobs_[j];
+      const Job& other = jobs_[j];
       if (other.attempts.at(t).state > AttemptState::fetching || m.images.count(other.image))
         continue;
       same = same || other.image == job.image;
@@ -205,7 +157,7 @@
   if (job.spec.spot && !m.spot && !job.is_service()) s += kSpotPreference;
   if (!job.has_start_promise)
     for (const auto& [i, e] : m.images)
-      if (i != job.image && start_promise_images_.count(i))
+      if (i != job.image && catalog_.prompt_start_images.count(i))
         s += kLeaveWarm * type.fetch_time_s(e.second);
   const double filled = m.used.dominant_share(type.size);
   return s + kPackPreference * (1 - filled);
@@ -216,7 +168,7 @@
 bool Scheduler::warm(const Job& job, const Machine& m) const {
   if (m.images.count(job.image)) return true;
   return !job.has_start_promise && std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& t) {
-    return jobs_[t.first]->image == job.image;
+    return jobs_[t.first].image == job.image;
   });
 }
 
@@ -225,19 +177,15 @@
   open_.clear();
   full_.clear();
   for (const auto& m : machines_) {
-    if (m->state != MachineState::ready || !takes_work(*m, now)) continue;
+    if (m->state != MachineState::ready || !eligibility_.takes_work(*m, now)) continue;
     if (has_room(*m)) open_.push_back(m->index);
   }
 }
 
-Resources Scheduler::free_on(const Machine& m) const {
-  Resources room = types_[m.type].size;
-  room -= m.used;
-  return room;
+bool Scheduler::has_room(const Machine& m) const {
+  return least_.fits_in(eligibility_.free_resources(m));
 }
 
-bool Scheduler::has_room(const Machine& m) const { return least_.fits_in(free_on(m)); }
-
 // Whether a search in this round has shown already that there is no room for it.
 bool Scheduler::known_full(const Job& job, uint32_t count) const {
   return std::any_of(full_.begin(), full_.end(), [&](const Full& f) {
@@ -256,7 +204,7 @@
   const bool bound_to_its_zone = job.spec.single_zone && !job.attempts.empty();
   bool special = job.spec.spread_zones || bound_to_its_zone || !job.failed_machines.empty();
   for (size_t k = 0; k < open_.size();) {
-    const Machine& m = *machines_[open_[k]];
+    const Machine& m = machines_[open_[k]];
     if (!has_room(m)) {  // filled up in this round
       open_[k] = open_.back();
       open_.pop_back();
@@ -266,15 +214,15 @@
     ++work_.machines_looked_at;
     // What holds for this job alone must not tell other jobs that there is no room.
     special = special || m.reserved_for != kNone || !m.unanswered_starts.empty();
-    if (!may_run(job, m, now)) continue;
-    Resources room = free_on(m);
+    if (!eligibility_.may_run(job, m, now)) continue;
+    Resources room = eligibility_.free_resources(m);
     uint32_t slots = 0;
     while (slots < job.waiting.size() && job.spec.per_task.fits_in(room)) {
       room -= job.spec.per_task;
       ++slots;
     }
     if (slots == 0 || (warm_only && !warm(job, m))) continue;
-    if (!zone_allows(job, m.zone, 1)) continue;
+    if (!eligibility_.zone_allows(job, m.zone, 1)) continue;
     out.push_back({score(job, m), m.index, slots});
   }
   std::sort(out.begin(), out.end(), [](const Place& a, const Place& b) {
@@ -287,29 +235,6 @@
   return out;
 }
 
-void Scheduler::propose(Job& job, uint32_t task, uint64_t number, Index mi, double now) {
-  Machine& m = *machines_[mi];
-  Attempt a;
-  a.task = task;
-  a.number = number;
-  a.machine = mi;
-  a.epoch = m.epoch;
-  a.since = now;
-  a.shielded = starved(job, now);
-  job.attempts[task] = a;
-  job.waiting.erase(task);
-  ++job.proposed;
-  job.highest_attempt = std::max(job.highest_attempt, number);
-  m.tasks.emplace_back(job.id, task);
-  m.used += job.spec.per_task;
-  team_used_[job.team] += job.spec.per_task;
-  const WriteUrgency write_urgency = job.is_service()        ? WriteUrgency::replica
-                                     : job.has_start_promise ? WriteUrgency::prompt_start
-                                                             : WriteUrgency::start;
-  mark_dirty(job, task, write_urgency, now);
-  spdlog::debug("task {}/{} attempt {}: proposed for {}", job.spec.id, task, number, m.name);
-}
-
 // How many tasks a starved array may begin at its turn: a share of its own, and no more than that
 // share of what the whole fleet holds of them. Of an array larger than the fleet, a share of its
 // own would take every place before promised work.
@@ -319,8 +244,9 @@
   return std::max(kStarvedLeast, static_cast<uint32_t>(counted) / kStarvedShare);
 }
 
-bool Scheduler::place_array(Job& job, double now, int& limiter, bool warm_only) {
-  if (!within_limit(job, 1)) return true;  // its own limit, not the machines, holds it back
+bool Scheduler::place_array(Job& job, double now, int& budget, bool warm_only) {
+  if (!team_usage_.within_limit(job.team, job.spec.per_task, 1))
+    return true;  // its own limit, not the machines, holds it back
   if (known_full(job, 1)) return false;
   const uint64_t number = job.highest_attempt + 1;
   const bool late = starved(job, now);
@@ -328,26 +254,30 @@
   uint32_t most = late ? job.starvation_allowance : UINT32_MAX;
   // One task shows whether it still fails. The next one waits for that and for the back-off: the
   // error of the first is reported only after rounds in which more would have been started.
-  if (faulty(job)) most = job.attempts.empty() ? 1 : 0;
+  if (FaultDetector::is_faulty(job)) most = job.attempts.empty() ? 1 : 0;
   size_t began = 0;
   for (const Place& p : places(job, now, nullptr, warm_only)) {
-    for (uint32_t k = 0; k < p.slots && limiter > 0 && most > 0; ++k) {
-      if (job.waiting.empty() || !within_limit(job, 1)) break;
-      if (!zone_allows(job, machines_[p.machine]->zone, 1)) break;
-      propose(job, *job.waiting.begin(), number, p.machine, now);
-      --limiter;
+    for (uint32_t k = 0; k < p.slots && budget > 0 && most > 0; ++k) {
+      if (job.waiting.empty() || !team_usage_.within_limit(job.team, job.spec.per_task, 1)) break;
+      if (!eligibility_.zone_allows(job, machines_[p.machine].zone, 1)) break;
+      lifecycle_.propose(job, *job.waiting.begin(), number, machines_[p.machine], starved(job, now),
+                         now);
+      --budget;
       --most;
       if (late) --job.starvation_allowance;
       ++began;
     }
-    if (job.waiting.empty() || limiter <= 0 || most == 0 || !within_limit(job, 1)) break;
+    if (job.waiting.empty() || budget <= 0 || most == 0 ||
+        !team_usage_.within_limit(job.team, job.spec.per_task, 1))
+      break;
   }
   // In a full fleet places come free a few at a time: its turn lasts until its share has begun.
   if (began > 0 && (!late || job.starvation_allowance == 0 || job.waiting.empty())) {
     job.last_start = now;
     job.starvation_allowance = 0;
   }
-  return job.waiting.empty() || limiter <= 0 || most == 0 || !within_limit(job, 1);
+  return job.waiting.empty() || budget <= 0 || most == 0 ||
+         !team_usage_.within_limit(job.team, job.spec.per_task, 1);
 }
 
 // Whether a start that has to fetch its image would surely break the promise that is due next,
@@ -359,29 +289,33 @@
   for (const double within : job.start_within) {
     if (within <= age) continue;
     double fetch = 0;
-    for (const MachineType& t : types_) fetch = std::max(fetch, t.fetch_time_s(job.spec.image_gb));
+    for (const MachineType& t : catalog_.types)
+      fetch = std::max(fetch, t.fetch_time_s(job.spec.image_gb));
     return within - age < fetch + kStartTime && within - age > kWarmStartTime;
   }
   return false;
 }
 
-bool Scheduler::place_gang(Job& job, double now, int& limiter, bool warm_only) {
+bool Scheduler::place_gang(Job& job, double now, int& budget, bool warm_only) {
   if (!job.attempts.empty()) {
     // Either the old attempt has not left entirely, or it gathers and lacks some: replacements
     // join it under its number (invariant 4's exception).
     const uint64_t number = job.attempts.begin()->second.number;
     for (const auto& [t, a] : job.attempts)
       if (a.state == AttemptState::ended || a.number != number) return true;
-    if (!still_gathers(job)) return true;
+    if (!TaskLifecycle::is_gang_gathering(job)) return true;
     for (const Place& p : places(job, now))
-      for (uint32_t k = 0; k < p.slots && !job.waiting.empty() && within_limit(job, 1); ++k) {
-        if (!zone_allows(job, machines_[p.machine]->zone, 1)) break;
-        propose(job, *job.waiting.begin(), number, p.machine, now);
-        --limiter;
+      for (uint32_t k = 0; k < p.slots && !job.waiting.empty() &&
+                           team_usage_.within_limit(job.team, job.spec.per_task, 1);
+           ++k) {
+        if (!eligibility_.zone_allows(job, machines_[p.machine].zone, 1)) break;
+        lifecycle_.propose(job, *job.waiting.begin(), number, machines_[p.machine],
+                           starved(job, now), now);
+        --budget;
       }
-    return job.waiting.empty() || !within_limit(job, 1);
+    return job.waiting.empty() || !team_usage_.within_limit(job.team, job.spec.per_task, 1);
   }
-  if (!within_limit(job, job.tasks())) return true;
+  if (!team_usage_.within_limit(job.team, job.spec.per_task, job.tasks())) return true;
   if (known_full(job, job.tasks())) return false;
   // All or none: the cheapest places, in the zone whose dearest one is cheapest.
   bool special = false;
@@ -390,7 +324,7 @@
   std::vector<Index> zones{kNone}, best;
   if (job.spec.single_zone) {
     zones.clear();
-    for (Index z = 0; z < zone_names_.size(); ++z) zones.push_back(z);
+    for (Index z = 0; z < catalog_.zones.size(); ++z) zones.push_back(z);
   }
   double best_score = 0;
   for (Index z : zones) {
@@ -398,7 +332,7 @@
     std::map<Index, uint32_t> in_zone;
     double worst = 0;
     for (const Place& p : all) {
-      const Index zone = machines_[p.machine]->zone;
+      const Index zone = machines_[p.machine].zone;
       if (z != kNone && zone != z) continue;
       for (uint32_t k = 0; k < p.slots && got.size() < n; ++k) {
         if (job.spec.spread_zones && in_zone[zone] >= (n + 1) / 2) break;
@@ -422,8 +356,9 @@
   }
   const uint64_t number = job.highest_attempt + 1;
   const std::vector<uint32_t> tasks(job.waiting.begin(), job.waiting.end());
-  for (size_t i = 0; i < tasks.size(); ++i) propose(job, tasks[i], number, best[i], now);
-  limiter -= static_cast<int>(tasks.size());
+  for (size_t i = 0; i < tasks.size(); ++i)
+    lifecycle_.propose(job, tasks[i], number, machines_[best[i]], starved(job, now), now);
+  budget -= static_cast<int>(tasks.size());
   job.last_start = now;
   return true;
 }
@@ -438,13 +373,13 @@
   if (!late && job.tasks() * job.share > kClaimMost * static_cast<double>(ready_)) return;
   std::map<Index, uint32_t> slots;
   for (const Place& p : free)
-    slots[job.spec.single_zone ? machines_[p.machine]->zone : 0] += p.slots;
+    slots[job.spec.single_zone ? machines_[p.machine].zone : 0] += p.slots;
   const auto most = std::max_element(
       slots.begin(), slots.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
   if (most == slots.end()) return;
   uint32_t left = job.tasks();
   for (const Place& p : free) {
-    Machine& m = *machines_[p.machine];
+    Machine& m = machines_[p.machine];
     if (job.spec.single_zone && m.zone != most->first) continue;
     for (uint32_t k = 0; k < p.slots && left > 0; ++k, --left) {
       m.used += job.spec.per_task;
@@ -456,12 +391,7 @@
 bool Scheduler::may_stop(const Job& job, const Job& victim) const {
   if (victim.spec.priority < job.spec.priority) return true;
   if (victim.team == job.team || !job.guaranteed) return false;
-  for (const TeamQuota& t : settings_.teams)
-    if (t.name == victim.spec.team) {
-      const Resources& used = team_used_[victim.team];
-      return used.cpus > t.cpus + 1e-9 || used.gpus > t.gpus + 1e-9;
-    }
-  return false;
+  return team_usage_.exceeds_guarantee(victim.team);
 }
 
 // Whether there is too little room for a task of the job of something that the victim holds.
@@ -483,13 +413,15 @@
   std::vector<Victim> victims;
   for (const auto& mp : machines_) {
     const Machine& m = *mp;
-    if (m.state != MachineState::ready || !takes_work(m, now) || !may_run(job, m, now)) continue;
-    if (m.reserved_for != kNone || !zone_allows(job, m.zone, 1)) continue;
+    if (m.state != MachineState::ready || !eligibility_.takes_work(m, now) ||
+        !eligibility_.may_run(job, m, now))
+      continue;
+    if (m.reserved_for != kNone || !eligibility_.zone_allows(job, m.zone, 1)) continue;
     ++work_.machines_looked_at;
-    Resources room = free_on(m);
+    Resources room = eligibility_.free_resources(m);
     victims.clear();
     for (const auto& [j, t] : m.tasks) {
-      const Job& v = *jobs_[j];
+      const Job& v = jobs_[j];
       const Attempt& a = v.attempts.at(t);
       if (a.stop) {
         room += v.spec.per_task;  // it is leaving anyway
@@ -512,13 +444,13 @@
     Eviction e{0, m.index, {}};
     for (const Victim& v : victims) {
       if (job.spec.per_task.fits_in(room)) break;
-      room += jobs_[v.job]->spec.per_task;
+      room += jobs_[v.job].spec.per_task;
       e.cost += v.cost;
       e.victims.emplace_back(v.job, v.task);
     }
     if (!job.spec.per_task.fits_in(room)) continue;
     if (!m.images.count(job.image))
-      e.cost += kFetchCost * types_[m.type].fetch_time_s(job.spec.image_gb);
+      e.cost += kFetchCost * catalog_.types[m.type].fetch_time_s(job.spec.image_gb);
     out.push_back(std::move(e));
   }
   std::sort(out.begin(), out.end(), [](const Eviction& a, const Eviction& b) {
@@ -535,7 +467,7 @@
     if (m->reserved_for == job.id && now < m->reserved_until) ++pending;
   const uint32_t wanted = static_cast<uint32_t>(
       job.is_gang() ? job.waiting.size() : std::min<size_t>(job.waiting.size(), 8));
-  if (pending >= wanted || !within_limit(job, 1)) return;
+  if (pending >= wanted || !team_usage_.within_limit(job.team, job.spec.per_task, 1)) return;
   const uint32_t more = wanted - pending;
   if (std::any_of(hopeless_.begin(), hopeless_.end(), [&](const Hopeless& h) {
         return h.priority == job.spec.priority && !job.guaranteed && h.zone == job.zone &&
@@ -545,16 +477,16 @@
     return;
   std::vector<Eviction> all = evictions(job, now);
   if (warm_only)
-    std::erase_if(all, [&](const Eviction& e) { return !warm(job, *machines_[e.machine]); });
+    std::erase_if(all, [&](const Eviction& e) { return !warm(job, machines_[e.machine]); });
   if (job.spec.single_zone && job.is_gang() && job.attempts.empty()) {
     std::map<Index, uint32_t> found;
     Index zone = kNone;
     for (const Eviction& e : all)  // cheapest first: the first zone that has enough
-      if (++found[machines_[e.machine]->zone] == more) {
-        zone = machines_[e.machine]->zone;
+      if (++found[machines_[e.machine].zone] == more) {
+        zone = machines_[e.machine].zone;
         break;
       }
-    std::erase_if(all, [&](const Eviction& e) { return machines_[e.machine]->zone != zone; });
+    std::erase_if(all, [&](const Eviction& e) { return machines_[e.machine].zone != zone; });
   }
   if (all.empty() || (job.is_gang() && all.size() < more)) {
     if (warm_only) return;
@@ -563,12 +495,12 @@
     return;
   }
   for (size_t k = 0; k < std::min<size_t>(more, all.size()); ++k) {
-    Machine& m = *machines_[all[k].machine];
+    Machine& m = machines_[all[k].machine];
     m.reserved_for = job.id;
     m.reserved_until = now + kReserve;
     for (const auto& [j, t] : all[k].victims) {
-      Job& v = *jobs_[j];
-      stop_attempt(
+      Job& v = jobs_[j];
+      lifecycle_.stop(
           v, v.attempts.at(t),
           v.spec.checkpoint_interval_s > 0 ? v.spec.checkpoint_duration_s + kGraceMargin : 0);
     }
@@ -580,11 +512,11 @@
 
 // When room for one task of the job will come of itself, by the owners' estimates.
 double Scheduler::frees_at(const Job& job, const Machine& m, double now) const {
-  Resources room = free_on(m);
+  Resources room = eligibility_.free_resources(m);
   if (job.spec.per_task.fits_in(room)) return now;
   std::vector<std::pair<double, const Job*>> ends;
   for (const auto& [j, t] : m.tasks) {
-    const Job& other = *jobs_[j];
+    const Job& other = jobs_[j];
     const Attempt& a = other.attempts.at(t);
     if (other.is_service() && !a.stop) continue;  // it does not end of itself
     const double since = a.state == AttemptState::running ? a.running_since : now;
@@ -609,7 +541,7 @@
   const size_t wanted = job.is_gang() ? job.waiting.size() : 1;
   size_t have = 0;
   for (auto& m : machines_)
-    if (m->reserved_for == job.id && takes_work(*m, now)) {
+    if (m->reserved_for == job.id && eligibility_.takes_work(*m, now)) {
       m->reserved_until = std::max(m->reserved_until, now + kSetAsideFor);
       ++have;
     }
@@ -622,8 +554,10 @@
   job.reserve_retry_at = now + 1;
   std::vector<std::pair<double, Index>> all;
   for (const auto& m : machines_) {
-    if (m->state != MachineState::ready || !takes_work(*m, now) || !may_run(job, *m, now)) continue;
-    if (m->reserved_for != kNone || !zone_allows(job, m->zone, 1)) continue;
+    if (m->state != MachineState::ready || !eligibility_.takes_work(*m, now) ||
+        !eligibility_.may_run(job, *m, now))
+      continue;
+    if (m->reserved_for != kNone || !eligibility_.zone_allows(job, m->zone, 1)) continue;
     ++work_.machines_looked_at;
     if (const double at = frees_at(job, *m, now); at < 1e18) all.emplace_back(at, m->index);
   }
@@ -634,12 +568,12 @@
       if (m->reserved_for == job.id) ++found[m->zone];
     Index zone = found.empty() ? kNone : found.begin()->first;
     for (size_t k = 0; zone == kNone && k < all.size(); ++k)
-      if (++found[machines_[all[k].second]->zone] == wanted) zone = machines_[all[k].second]->zone;
-    std::erase_if(all, [&](const auto& e) { return machines_[e.second]->zone != zone; });
+      if (++found[machines_[all[k].second].zone] == wanted) zone = machines_[all[k].second].zone;
+    std::erase_if(all, [&](const auto& e) { return machines_[e.second].zone != zone; });
   }
   if (all.size() < wanted - have) return;
   for (size_t k = 0; k < wanted - have; ++k) {
-    Machine& m = *machines_[all[k].second];
+    Machine& m = machines_[all[k].second];
     m.reserved_for = job.id;
     m.reserved_until = now + kSetAsideFor;
     ++aside_;
@@ -649,13 +583,13 @@
 
 void Scheduler::place(double now) {
   sort_jobs(now);
-  int limiter = kBatch + static_cast<int>(backlog() / 8);
+  int budget = kBatch + static_cast<int>(backlog() / 8);
   aside_ = 0;
   ready_ = 0;
   for (auto& m : machines_) {
     if (m->state == MachineState::ready) ++ready_;
     if (m->reserved_for == kNone) continue;
-    const Job* job = find(m->reserved_for);
+    const Job* job = jobs_.find(m->reserved_for);
     if (now >= m->reserved_until || !job || job->waiting.empty()) m->reserved_for = kNone;
   }
   gather_open(now);
@@ -667,37 +601,37 @@
   const Job* first = nullptr;
   int looked = 0;
   for (Index i : order_) {
-    if (limiter <= 0) break;
-    Job& job = *jobs_[i];
+    if (budget <= 0) break;
+    Job& job = jobs_[i];
     ++work_.jobs_looked_at;
     if (job.is_gang() || job.has_start_promise || starved(job, now)) {
       if (first) continue;  // after arrays that go before it
-      place_job(job, now, limiter, preempt);
+      place_job(job, now, budget, preempt);
       continue;
     }
     if (!first) first = &job;
     if (job.spec.priority != first->spec.priority || job.guaranteed != first->guaranteed ||
         job.urgency > first->urgency + kWarmWindow || ++looked > kWarmJobs)
       break;
-    place_array(job, now, limiter, true);
+    place_array(job, now, budget, true);
   }
   bool after = false;
   for (Index i : order_) {
-    if (limiter <= 0) break;
-    Job& job = *jobs_[i];
+    if (budget <= 0) break;
+    Job& job = jobs_[i];
     after = after || &job == first;
-    if (after && !job.waiting.empty()) place_job(job, now, limiter, preempt);
+    if (after && !job.waiting.empty()) place_job(job, now, budget, preempt);
   }
-  for (const auto& [m, per_task] : claims_) machines_[m]->used -= per_task;
+  for (const auto& [m, per_task] : claims_) machines_[m].used -= per_task;
   claims_.clear();
 }
 
-void Scheduler::place_job(Job& job, double now, int& limiter, bool preempt) {
+void Scheduler::place_job(Job& job, double now, int& budget, bool preempt) {
   ++work_.jobs_looked_at;
   const bool warm_only = needs_warm(job, now);
-  const bool placed = job.is_gang()      ? place_gang(job, now, limiter, warm_only)
-                      : job.is_service() ? place_service(job, now, limiter)
-                                         : place_array(job, now, limiter, warm_only);
+  const bool placed = job.is_gang()      ? place_gang(job, now, budget, warm_only)
+                      : job.is_service() ? place_service(job, now, budget)
+                                         : place_array(job, now, budget, warm_only);
   if (placed || !preempt) return;
   preempt_for(job, now, warm_only);
   if (!warm_only) reserve_machines(job, now);
--- a/src/scheduler/reports.cpp
+++ b/src/scheduler/reports.cpp
@@ -10,12 +10,8 @@
 
 namespace {
 
-// A machine is cordoned after errors of this many distinct jobs without a success between them.
-constexpr size_t kSickAfter = 2;
-// After its first error a machine takes no new work for this long, unless it succeeds.
-constexpr double kSuspectFor = 20;
-// A job that failed on this many machines is taken for faulty itself.
-constexpr size_t kFaultyJobAfter = 3;
+// A replica that ran for this long shows that neither its job nor its machine is faulty.
+constexpr double kProvenAfter = 10;
 // A new leader calls machines that have not come to it from this moment on: until then those whose
 // leader ended with a closed connection begin to come by themselves.
 constexpr double kAnnounceTokenAfter = 1;
@@ -50,13 +46,13 @@
   if (!m.registered) {
     m.addr = r.addr;
     // What the cloud said of it is not given up for a type that nobody knows.
-    const Index type = type_names_.find(r.type);
+    const Index type = catalog_.type_names.find(r.type);
     if (type != kNone || m.type == kNone) {
       m.type = type;
-      m.zone = zone_names_.intern(r.zone);
+      m.zone = catalog_.zones.intern(r.zone);
       m.spot = r.spot;
     }
-    record_boot(m, now);
+    boot_tracker_.record_boot(m, now);
     m.registered = true;
     m.heartbeats_with_older_token = 0;
     m.older_token_since = -1;
@@ -71,16 +67,17 @@
   }
   m.epoch = r.epoch;
   m.seq = r.seq;
-  if (m.state == MachineState::booting) set_state(m, MachineState::ready, "its worker reports");
+  if (m.state == MachineState::booting)
+    MachineTable::set_state(m, MachineState::ready, "its worker reports");
 }
 
 void Scheduler::touch_image(Machine& m, const Job& job, double now) {
   m.images[job.image] = {now, job.spec.image_gb};
-  if (m.type == kNone || types_[m.type].cache_gb <= 0) return;
+  if (m.type == kNone || catalog_.types[m.type].cache_gb <= 0) return;
   // The worker keeps the most recently used images; forget what must have fallen out.
   double sum = 0;
   for (const auto& [i, e] : m.images) sum += e.second;
-  while (sum > types_[m.type].cache_gb && m.images.size() > 1) {
+  while (sum > catalog_.types[m.type].cache_gb && m.images.size() > 1) {
     auto oldest = std::min_element(m.images.begin(), m.images.end(), [](auto& a, auto& b) {
       return a.second.first < b.second.first;
     });
@@ -98,7 +95,7 @@
     std::vector<std::pair<double, Index>> by_use;
     for (const auto& [image, e] : m->images) {
       if (place.try_emplace(image, place.size()).second)
-        images.push_back(json::array({image_names_.name(image), e.second}));
+        images.push_back(json::array({catalog_.images.name(image), e.second}));
       by_use.emplace_back(e.first, image);
     }
     std::sort(by_use.begin(), by_use.end());
@@ -113,14 +110,15 @@
   try {
     std::vector<std::pair<Index, double>> images;
     for (const auto& e : hints.at("images"))
-      images.emplace_back(image_names_.intern(e.at(0).get<std::string>()), e.at(1).get<double>());
+      images.emplace_back(catalog_.images.intern(e.at(0).get<std::string>()),
+                          e.at(1).get<double>());
     for (const auto& [name, list] : hints.at("machines").items()) {
-      const Index i = machine_names_.find(name);
+      const Index i = machines_.index_of(name);
       if (i == kNone) continue;
       double used = now - static_cast<double>(list.size());
       for (const auto& k : list) {
         const auto& [image, gb] = images.at(k.get<size_t>());
-        machines_[i]->images[image] = {used, gb};
+        machines_[i].images[image] = {used, gb};
         used += 1;
       }
     }
@@ -129,33 +127,11 @@
   }
 }
 
-// Whether a job failed so widely since it last succeeded that the mistake is its own.
-bool Scheduler::faulty(const Job& job) const {
-  return job.failed_machines.size() >= kFaultyJobAfter || job.errors > 2 * kFaultyJobAfter;
-}
-
-void Scheduler::record_error(Machine& m, Job& job, double now) {
-  job.failed_machines.insert(m.index);
-  ++job.errors;
-  if (faulty(job)) {
-    // It fails everywhere: its own mistake. It waits ever longer and blames no machine.
-    const double wait = std::min(60.0, 2.0 * static_cast<double>(1u << std::min(job.errors, 6u)));
-    job.not_before = std::max(job.not_before, now + wait);
-    for (Index i : job.failed_machines) {
-      Machine& other = *machines_[i];
-      if (other.failed_jobs.erase(job.id) > 0 && other.failed_jobs.empty()) other.suspect_until = 0;
-    }
-    return;
-  }
-  job.not_before = std::max(job.not_before, now + 0.5);
-  m.failed_jobs.insert(job.id);
-  m.suspect_until = now + kSuspectFor;
-  if (m.failed_jobs.size() >= kSickAfter && !m.cordoned) {
-    spdlog::warn("machine {} failed tasks of {} jobs in a row: cordoned", m.name,
-                 m.failed_jobs.size());
-    m.cordoned = true;
-    drain(m, now, "sick");
-  }
+// A replica never exits with success: that it runs on for a while takes its place.
+void Scheduler::record_replica_run(Machine& m, Job& job, Attempt& a, double now) {
+  if (a.proven || a.state != AttemptState::running || now - a.running_since < kProvenAfter) return;
+  a.proven = true;
+  FaultDetector::record_success(m, job);
 }
 
 void Scheduler::apply_task_status(Machine& m, Job& job, Attempt& a, const TaskStatus& t,
@@ -164,22 +140,21 @@
   if (t.phase != TaskPhase::exited) {
     const AttemptState to = seen(t.phase);
     if (to == AttemptState::running && a.state != AttemptState::running) a.running_since = now;
-    if (a.state == AttemptState::placed || to >= a.state) set_state(job, a, to);
-    if (job.is_service()) note_replica_runs(m, job, a, now);
+    if (a.state == AttemptState::placed || to >= a.state) lifecycle_.set_state(job, a, to);
+    if (job.is_service()) record_replica_run(m, job, a, now);
     if (t.phase != TaskPhase::fetching) touch_image(m, job, now);
     return;
   }
   if (t.cause == ExitCause::done) {
     touch_image(m, job, now);
-    m.failed_jobs.clear();
-    m.suspect_until = 0;
+    FaultDetector::record_success(m);
   } else if (t.cause == ExitCause::error) {
-    record_error(m, job, now);
+    faults_.record_error(m, job, now);
   }
   if (t.cause != ExitCause::done && t.cause != ExitCause::stopped)
     spdlog::info("task {}/{} attempt {} on {} ended: cause {}", job.spec.id, a.task, a.number,
                  m.name, static_cast<int>(t.cause));
-  end_attempt(job, a.task, t.cause, now, "its worker reports the exit");
+  lifecycle_.end(job, a.task, t.cause, now, "its worker reports the exit");
 }
 
 void Scheduler::on_reclaim_notice(Machine& m, double notice_s, double now) {
@@ -187,22 +162,22 @@
     spdlog::info("machine {} will be taken back in {:.1f} s, {} tasks on it", m.name, notice_s,
                  m.tasks.size());
     m.cordoned = true;
-    drain(m, now, "notice");
+    MachineTable::drain(m, now, "notice");
   }
   m.reclaim_at = now + notice_s;
   for (const auto& [j, t] : m.tasks) {
-    Job& job = *jobs_[j];
+    Job& job = jobs_[j];
     Attempt& a = job.attempts.at(t);
     if (job.is_service()) {
-      recall_replica(job, a, notice_s);
+      replicas_.on_reclaim_notice(job, a, notice_s);
       continue;
     }
     const bool can_save = job.spec.checkpoint_interval_s > 0 && a.state == AttemptState::running;
     if (can_save) {
       if (job.spec.checkpoint_duration_s + kGraceMargin < notice_s)
-        stop_with_gang(job, a, job.spec.checkpoint_duration_s + kGraceMargin);
+        lifecycle_.stop_with_gang(job, a, job.spec.checkpoint_duration_s + kGraceMargin);
     } else if (a.state != AttemptState::running && a.state != AttemptState::checkpointing) {
-      stop_attempt(job, a, 0);  // nothing to lose yet: let it start elsewhere
+      lifecycle_.stop(job, a, 0);  // nothing to lose yet: let it start elsewhere
     }
     // A running task without checkpoints may still end in time; stopping it would lose it surely.
   }
@@ -210,20 +185,20 @@
 
 HeartbeatReply Scheduler::on_heartbeat(const Heartbeat& r, double now) {
   HeartbeatReply reply;
-  if (r.fencing_token > fencing_token_) {
+  if (r.fencing_token > claim_.fencing_token()) {
     // Invariant 2: somebody newer commands this worker.
-    lose_leadership("a worker has seen token " + std::to_string(r.fencing_token));
+    claim_.lose("a worker has seen token " + std::to_string(r.fencing_token));
     reply.verdict = HeartbeatReply::Verdict::deposed;
     return reply;
   }
-  Machine& m = machine(r.machine, now);
+  Machine& m = machines_.get_or_add(r.machine, now);
   if (m.state == MachineState::terminated) return reply;  // a late report of a returned machine
   if (m.registered && std::make_pair(r.epoch, r.seq) <= std::make_pair(m.epoch, m.seq)) {
     // Held back on its way: its task list is as old as it is, and its answer goes nowhere.
     reply.verdict = HeartbeatReply::Verdict::outdated;
     return reply;
   }
-  if (r.fencing_token < fencing_token_) {
+  if (r.fencing_token < claim_.fencing_token()) {
     // Invariant 7: sent before its worker had seen our token, so perhaps long ago, and perhaps a
     // copy: it proves nothing, shows no life, and is answered with the token alone. A worker that
     // takes that up reports again within half a second.
@@ -246,9 +221,9 @@
   // Invariant 3, "its tenure rose": the worker killed everything of earlier sessions.
   const auto here = m.tasks;
   for (const auto& [j, t] : here) {
-    Job& job = *jobs_[j];
+    Job& job = jobs_[j];
     if (auto a = job.attempts.find(t); a != job.attempts.end() && a->second.epoch < r.epoch)
-      end_attempt(job, t, ExitCause::none, now, "the worker's session rose");
+      lifecycle_.end(job, t, ExitCause::none, now, "the worker's session rose");
   }
   const size_t busy = m.tasks.size();
   const bool known = m.registered;
@@ -290,7 +265,7 @@
                                 double now) {
   m.has_unknown_tasks = false;
   for (const TaskStatus& t : r.tasks) {
-    Job* job = find(job_names_.find(t.job));
+    Job* job = jobs_.find(jobs_.index_of(t.job));
     Attempt* a = nullptr;
     if (job) {
       auto f = job->attempts.find(t.task);
@@ -311,7 +286,7 @@
     const Index job_index = job->id;
     listed.emplace_back(job_index, t.task);
     apply_task_status(m, *job, *a, t, now);  // may drop the job when it is over
-    job = find(job_index);
+    job = jobs_.find(job_index);
     if (!job) continue;
     auto f = job->attempts.find(t.task);
     if (f == job->attempts.end() || f->second.number != t.attempt) continue;
@@ -339,12 +314,12 @@
   const auto here = m.tasks;
   for (const auto& [j, t] : here) {
     if (std::find(listed.begin(), listed.end(), std::make_pair(j, t)) != listed.end()) continue;
-    Job& job = *jobs_[j];
+    Job& job = jobs_[j];
     Attempt& a = job.attempts.at(t);
     if (a.state == AttemptState::proposed) continue;
     if (a.state != AttemptState::placed) {
       // Reported before and not any more: it left without a word of ours.
-      end_attempt(job, t, ExitCause::none, now, "its worker no longer lists it");
+      lifecycle_.end(job, t, ExitCause::none, now, "its worker no longer lists it");
       continue;
     }
     if (a.stop) {
@@ -358,7 +333,7 @@
       } else {
         // Never ordered by us, or ordered in the answer to an earlier report, which this one
         // settles: the worker either executed it or dropped the answer.
-        end_attempt(job, t, ExitCause::none, now, "not there, and no order for it is left");
+        lifecycle_.end(job, t, ExitCause::none, now, "not there, and no order for it is left");
       }
       continue;
     }
@@ -407,15 +382,15 @@
 }
 
 std::optional<DirectCommand> Scheduler::next_direct_command(double now) {
-  if (has_lost_leadership_) return std::nullopt;
-  for (auto it = direct_command_due_.begin(); it != direct_command_due_.end();) {
-    Machine& m = *machines_[*it];
+  if (claim_.is_lost()) return std::nullopt;
+  for (auto it = pending_commands_.machines().begin(); it != pending_commands_.machines().end();) {
+    Machine& m = machines_[*it];
     // Silent machines are left to their reports: an unanswered order is a burden.
     if (m.direct_in_flight || now < m.direct_commands_after) {
       ++it;
       continue;
     }
-    it = direct_command_due_.erase(it);
+    it = pending_commands_.machines().erase(it);
     if (!m.registered || m.unreachable() || m.addr.empty() ||
         now - m.last_heartbeat > 1.7 * settings_.heartbeat_interval_s)
       continue;
@@ -426,7 +401,7 @@
     d.epoch = m.epoch;
     std::vector<WorkerCommand> runs;
     for (const auto& [j, t] : m.tasks) {
-      Job& job = *jobs_[j];
+      Job& job = jobs_[j];
       Attempt& a = job.attempts.at(t);
       if (may_start(job, a) && a.epoch == m.epoch) {
         runs.push_back({CommandKind::start, job.spec.id, t, a.number, 0});
@@ -447,17 +422,17 @@
 
 void Scheduler::on_direct_command_result(const DirectCommand& d, bool answered,
                                          const std::optional<Heartbeat>& r, double now) {
-  Machine& m = *machines_[d.machine];
+  Machine& m = machines_[d.machine];
   m.direct_in_flight = false;
-  if (r && r->fencing_token > fencing_token_) {
-    lose_leadership("a worker has seen token " + std::to_string(r->fencing_token));
+  if (r && r->fencing_token > claim_.fencing_token()) {
+    claim_.lose("a worker has seen token " + std::to_string(r->fencing_token));
     return;
   }
   if (answered) {
     for (const WorkerCommand& o : d.commands) {
       if (o.verb != CommandKind::start || m.unanswered_starts.count({o.job, o.task, o.attempt}))
         continue;
-      Job* job = find(job_names_.find(o.job));
+      Job* job = jobs_.find(jobs_.index_of(o.job));
       if (!job) continue;
       auto a = job->attempts.find(o.task);
       if (a != job->attempts.end() && a->second.number == o.attempt) a->second.direct = false;
@@ -471,7 +446,7 @@
   if (!m.registered) {
     // A token announcement. The answer to a call of our own is no late copy.
     m.epoch = std::max(m.epoch, r->epoch);
-    if (r->fencing_token < fencing_token_) {
+    if (r->fencing_token < claim_.fencing_token()) {
       if (r->epoch != d.epoch) m.announce_token_at = now;  // once more, with its session
       return;
     }
--- a/src/scheduler/transactions.cpp
+++ b/src/scheduler/transactions.cpp
@@ -30,7 +30,7 @@
 }  // namespace
 
 std::string Scheduler::transaction_id_of(uint64_t txn) const {
-  return std::to_string(fencing_token_) + "." + std::to_string(txn);
+  return std::to_string(claim_.fencing_token()) + "." + std::to_string(txn);
 }
 
 void Scheduler::apply_lowered_limits() {
@@ -49,72 +49,6 @@
                                                 : settings_.value_bytes);
 }
 
-// Promised starts have pages of their own, so that one write makes many of them durable.
-Index Scheduler::page_for(size_t bytes, PageKind kind) {
-  const size_t room = ledger::page_room(settings_.lasting_value_bytes());
-  for (Index i = 0; i < pages_.size(); ++i) {
-    Page& page = pages_[i];
-    if (!page.readable || page.unwritten_splits > 0) continue;
-    if (page.kind != kind && !page.members.empty()) continue;
-    if (page.reserved + bytes > room) continue;
-    page.kind = kind;
-    return i;
-  }
-  pages_.emplace_back();
-  pages_.back().kind = kind;
-  return static_cast<Index>(pages_.size() - 1);
-}
-
-Index Scheduler::empty_page(PageKind kind) {
-  for (Index i = 0; i < pages_.size(); ++i) {
-    Page& page = pages_[i];
-    if (!page.members.empty() || !page.unreadable_jobs.empty() || !page.readable) continue;
-    if (page.in_flight || page.unwritten_splits > 0 || page.split_from != kNone) continue;
-    page.kind = kind;
-    return i;
-  }
-  pages_.emplace_back();
-  pages_.back().kind = kind;
-  return static_cast<Index>(pages_.size() - 1);
-}
-
-void Scheduler::add_to_page(Job& job, uint32_t first, Index page) {
-  job.chunks.at(first).page = page;
-  pages_[page].reserved += job.chunk_bytes(first);
-  pages_[page].members.insert({job.id, first});
-}
-
-void Scheduler::remove_from_page(Job& job, uint32_t first) {
-  ChunkPlace& place = job.chunks.at(first);
-  if (place.page == kNone) return;
-  Page& page = pages_[place.page];
-  page.members.erase({job.id, first});
-  page.reserved -= std::min(page.reserved, job.chunk_bytes(first));
-  place.page = kNone;
-}
-
-// What a page says of jobs that are over is of no use: it need not be written for them alone.
-void Scheduler::drop_from_pages(Job& job) {
-  for (const auto& [first, place] : job.chunks) {
-    const Index i = place.page;
-    remove_from_page(job, first);
-    if (i == kNone) continue;
-    Page& page = pages_[i];
-    if (!page.members.empty() || page.split_from != kNone || page.unwritten_splits > 0) continue;
-    page.dirty_since = -1;
-    page.write_urgency = WriteUrgency::none;
-  }
-}
-
-void Scheduler::mark_dirty(Job& job, uint32_t task, WriteUrgency write_urgency, double now) {
-  const uint32_t first = job.chunk_of(task);
-  if (job.chunks.at(first).page == kNone)
-    add_to_page(job, first, page_for(job.chunk_bytes(first), job.page_kind()));
-  Page& page = pages_[job.chunks.at(first).page];
-  if (page.dirty_since < 0) page.dirty_since = now;
-  page.write_urgency = std::min(page.write_urgency, write_urgency);
-}
-
 // ---------------------------------------------------------------- pages under lowered limits
 
 // What is durable of some consecutive tasks, or is to be with the next write: no proposed starts.
@@ -130,7 +64,7 @@
        ++it) {
     const Attempt& a = it->second;
     if (a.state == AttemptState::ended || a.state == AttemptState::proposed) continue;
-    chunk.live.push_back({a.task, a.number, machines_[a.machine]->name, a.epoch});
+    chunk.live.push_back({a.task, a.number, machines_[a.machine].name, a.epoch});
   }
   return chunk;
 }
@@ -160,14 +94,14 @@
        it != job.attempts.end() && it->first < first + count; ++it) {
     const Attempt& a = it->second;
     if (a.state == AttemptState::proposed)
-      size += ledger::encoded_size({a.task, a.number, machines_[a.machine]->name, a.epoch});
+      size += ledger::encoded_size({a.task, a.number, machines_[a.machine].name, a.epoch});
   }
   return size;
 }
 
 size_t Scheduler::wanted_size(const Page& page) const {
   size_t size = size_of(page.unreadable_jobs);
-  for (const auto& [j, first] : page.members) size += wanted_size(*jobs_[j], first);
+  for (const auto& [j, first] : page.members) size += wanted_size(jobs_[j], first);
   return size;
 }
 
@@ -175,12 +109,12 @@
   const ChunkPlace whole = job.chunks.at(first);
   const uint32_t most = ledger::tasks_per_chunk(settings_.lasting_value_bytes());
   const uint32_t piece = std::max(1u, std::min(most, whole.count / 2));
-  remove_from_page(job, first);
+  pages_.remove_chunk(job, first);
   job.chunks.erase(first);
   const uint32_t end = first + whole.count;
   for (uint32_t from = first; from < end; from += piece) {
     job.chunks[from] = {std::min(piece, end - from), kNone};
-    add_to_page(job, from, whole.page);
+    pages_.add_chunk(job, from, whole.page);
   }
 }
 
@@ -188,13 +122,13 @@
   while (true) {
     const auto& members = pages_[i].members;
     const auto large = std::find_if(members.begin(), members.end(), [this](const auto& member) {
-      const Job& job = *jobs_[member.first];
+      const Job& job = jobs_[member.first];
       return job.chunks.at(member.second).count > 1 &&
              wanted_size(job, member.second) > page_room();
     });
     if (large == members.end()) return;
     const auto [j, first] = *large;
-    split_chunk(*jobs_[j], first);
+    split_chunk(jobs_[j], first);
   }
 }
 
@@ -211,20 +145,20 @@
   Index to = kNone;
   for (const auto& [j, first] : members) {
     if (left <= room) break;
-    Job& job = *jobs_[j];
+    Job& job = jobs_[j];
     const size_t bytes = wanted_size(job, first);
     const bool fits_in = to != kNone && filled + bytes <= room &&
                          pages_[to].reserved + job.chunk_bytes(first) <= room;
     if (!fits_in) {
-      to = empty_page(pages_[i].kind);
+      to = pages_.empty_page(pages_[i].kind);
       filled = 0;
       pages_[to].split_from = i;
       pages_[to].dirty_since = now;
       pages_[to].write_urgency = WriteUrgency::prompt_start;
       ++pages_[i].unwritten_splits;
     }
-    remove_from_page(job, first);
-    add_to_page(job, first, to);
+    pages_.remove_chunk(job, first);
+    pages_.add_chunk(job, first, to);
     filled += bytes;
     left -= bytes;
   }
@@ -234,30 +168,6 @@
 
 // ---------------------------------------------------------------- proposals
 
-// Whether what was proposed still makes sense just before it is written.
-bool Scheduler::proposal_stands(const Attempt& a) const {
-  const Machine& m = *machines_[a.machine];
-  return m.state == MachineState::ready && !m.cordoned && m.epoch == a.epoch;
-}
-
-// Takes back proposals that were never written; `all`, or those that stand no more. A gang whose
-// start is not durable in any part goes back as a whole.
-void Scheduler::void_proposals(Job& job, bool all) {
-  if (job.proposed == 0) return;
-  bool some = all;
-  for (const auto& [t, a] : job.attempts)
-    if (a.state == AttemptState::proposed && !proposal_stands(a)) some = true;
-  if (!some) return;
-  all = all || (job.is_gang() && job.proposed == job.attempts.size());
-  for (auto it = job.attempts.begin(); it != job.attempts.end();) {
-    const uint32_t task = it->first;
-    const Attempt& a = it->second;
-    const bool back = a.state == AttemptState::proposed && (all || !proposal_stands(a));
-    ++it;
-    if (back) release(job, task);
-  }
-}
-
 // ---------------------------------------------------------------- transactions
 
 // A page as it is about to be written.
@@ -279,8 +189,9 @@
   draft.page.entries = page.unreadable_jobs;
   draft.size = size_of(page.unreadable_jobs);
   for (const auto& [j, first] : page.members) {
-    Job& job = *jobs_[j];
-    if (job.state == JobState::open && job.in_flight_transactions == 0) void_proposals(job, false);
+    Job& job = jobs_[j];
+    if (job.state == JobState::open && job.in_flight_transactions == 0)
+      lifecycle_.withdraw_proposals(job, false);
     const uint32_t count = job.chunks.at(first).count;
     ledger::PageEntry e;
     e.job = job.spec.id;
@@ -307,7 +218,7 @@
   for (const PageDraft::Start& s : draft.starts) {
     if (s.job->state != JobState::open || s.job->is_stale()) continue;
     const ledger::LiveAttempt live{s.attempt->task, s.attempt->number,
-                                   machines_[s.attempt->machine]->name, s.attempt->epoch};
+                                   machines_[s.attempt->machine].name, s.attempt->epoch};
     const bool fresh = !named.count(s.job->id);
     if (draft.size + ledger::encoded_size(live) > page_room() ||
         (fresh && f.txn.conditions.size() >= most_conditions)) {
@@ -334,12 +245,12 @@
   f.page = i;
   PageDraft draft;
   draft.page.transaction_id = f.txn.transaction_id = transaction_id_of(id);
-  f.txn.conditions = {{ledger::kLeaderKey, fencing_token_},
+  f.txn.conditions = {{ledger::kLeaderKey, claim_.fencing_token()},
                       {ledger::page_key(i), pages_[i].version}};
   draft_entries(pages_[i], draft);
   f.ended = std::move(draft.ended);
   add_starts(draft, f);
-  for (Index j : f.jobs) ++jobs_[j]->in_flight_transactions;
+  for (Index j : f.jobs) ++jobs_[j].in_flight_transactions;
   f.txn.changes = {{ledger::page_key(i), false, ledger::encode(draft.page), 0}};
   Page& page = pages_[i];
   page.in_flight = true;
@@ -356,18 +267,18 @@
   InFlightTransaction f;
   f.kind = InFlightTransaction::Kind::closing;
   uint64_t id = 0;
-  for (Index i : closing_) {
+  for (Index i : jobs_.completed()) {
     if (f.jobs.size() >=
         std::min({settings_.lasting_txn_ops(), kMostClosings, std::max(kLeastClosings, room)}))
       break;
-    Job& job = *jobs_[i];
+    Job& job = jobs_[i];
     if (job.state != JobState::open || job.is_stale() || job.retry_at > now ||
         job.in_flight_transactions > 0)
       continue;
     if (f.jobs.empty()) {
       id = ++next_txn_;
       f.txn.transaction_id = transaction_id_of(id);
-      f.txn.conditions = {{ledger::kLeaderKey, fencing_token_}};
+      f.txn.conditions = {{ledger::kLeaderKey, claim_.fencing_token()}};
     }
     ledger::JobRow row;
     row.status = ledger::JobStatus::done;
@@ -378,7 +289,7 @@
     f.txn.changes.push_back({ledger::job_key(job.spec.id), false, ledger::encode(row), 0});
     f.jobs.push_back(i);
     ++job.in_flight_transactions;
-    set_state(job, JobState::closing);
+    JobTable::set_state(job, JobState::closing);
   }
   if (f.jobs.empty()) return std::nullopt;
   PendingTransaction p{id, f.txn, false};
@@ -408,7 +319,7 @@
 }
 
 std::optional<PendingTransaction> Scheduler::next_transaction(double now, size_t room) {
-  if (has_lost_leadership_) return std::nullopt;
+  if (claim_.is_lost()) return std::nullopt;
   // An unanswered transaction goes out again, word for word, before anything else is decided
   // about its rows: whatever copy is executed, the outcome is the same.
   for (auto& [id, f] : in_flight_transactions_)
@@ -420,10 +331,10 @@
   Index pick = next_page(now);
   while (pick != kNone && split_page(pick, now)) pick = next_page(now);
   // Jobs are closed together: their users have to be told within 3 s.
-  if (closing_.empty()) closing_since_ = -1;
-  if (!closing_.empty() && closing_since_ < 0) closing_since_ = now;
+  if (jobs_.completed().empty()) closing_since_ = -1;
+  if (!jobs_.completed().empty() && closing_since_ < 0) closing_since_ = now;
   const bool starts = pick != kNone && pages_[pick].write_urgency < WriteUrgency::restart;
-  if (!closing_.empty() && (!starts || now - closing_since_ > kGatherClosings)) {
+  if (!jobs_.completed().empty() && (!starts || now - closing_since_ > kGatherClosings)) {
     closing_since_ = now;
     if (auto t = closing_transaction(now, room)) return t;
   }
@@ -450,23 +361,22 @@
     // Nor will any other copy be, but an earlier one may still be: with the end of our leadership
     // the leader key makes it void, and a successor reads what became of it.
     take_rejection(it->second);
-    return lose_leadership("an unanswered transaction is rejected now");
+    return claim_.lose("an unanswered transaction is rejected now");
   }
   const InFlightTransaction f = std::move(it->second);
   in_flight_transactions_.erase(it);
   const bool applied = r.outcome == Outcome::applied;
   if (r.outcome == Outcome::rejected) take_rejection(f);
   for (Index j : f.jobs)
-    if (Job* job = find(j)) --job->in_flight_transactions;
+    if (Job* job = jobs_.find(j)) --job->in_flight_transactions;
   if (r.outcome == Outcome::conflict)
     for (const std::string& key : r.failed) {
-      if (key == ledger::kLeaderKey) return lose_leadership("the leader key is not ours any more");
+      if (key == ledger::kLeaderKey) return claim_.lose("the leader key is not ours any more");
       // Nobody but the leader writes pages and the rented list; a ledger that disagrees is read
       // anew from scratch.
       const std::string jobs = ledger::kJobPrefix;
-      if (key.compare(0, jobs.size(), jobs) != 0)
-        return lose_leadership(key + " is not as we left it");
-      Job* job = find(job_names_.find(key.substr(jobs.size())));
+      if (key.compare(0, jobs.size(), jobs) != 0) return claim_.lose(key + " is not as we left it");
+      Job* job = jobs_.find(jobs_.index_of(key.substr(jobs.size())));
       if (!job) continue;
       if (!job->is_finished() && job->stale_since < 0) job->stale_since = now;
     }
@@ -477,7 +387,7 @@
     case InFlightTransaction::Kind::closing:
       if (!applied)
         for (Index j : f.jobs)
-          if (Job* job = find(j))
+          if (Job* job = jobs_.find(j))
             job->retry_at = now + (r.outcome == Outcome::conflict ? kRetryConflict : kRetryRefused);
       settle_closing(f, r);
       break;
@@ -486,11 +396,11 @@
       break;
   }
   for (Index j : f.jobs) {
-    Job* job = find(j);
+    Job* job = jobs_.find(j);
     if (!job) continue;
     if (job->state == JobState::cancelled)
-      for (auto& [t, a] : job->attempts) stop_attempt(*job, a, 0);
-    erase_if_finished(j);
+      for (auto& [t, a] : job->attempts) lifecycle_.stop(*job, a, 0);
+    lifecycle_.erase_if_finished(j);
   }
 }
 
@@ -518,35 +428,25 @@
     page.write_urgency =
         page.kind == PageKind::service ? WriteUrgency::replica : WriteUrgency::prompt_start;
     for (Index j : f.jobs)
-      if (Job* job = find(j); job && (job->is_stale() || job->is_finished()))
-        void_proposals(*job, true);
+      if (Job* job = jobs_.find(j); job && (job->is_stale() || job->is_finished()))
+        lifecycle_.withdraw_proposals(*job, true);
     return;
   }
   page.version = r.revision;
   if (page.split_from != kNone) --pages_[std::exchange(page.split_from, kNone)].unwritten_splits;
   for (const auto& [j, t] : f.started) {
-    Job* job = find(j);
+    Job* job = jobs_.find(j);
     if (!job) continue;
     auto a = job->attempts.find(t);
     if (a == job->attempts.end() || a->second.state != AttemptState::proposed) continue;
-    if (!set_state(*job, a->second, AttemptState::placed)) continue;
-    --job->proposed;
-    direct_command_due_.insert(a->second.machine);
-    const MachineState at = machines_[a->second.machine]->state;
-    if (at == MachineState::terminated)
-      end_attempt(*job, t, ExitCause::none, now, "its machine went while it was committed");
-    else if (!proposal_stands(a->second))
-      stop_attempt(*job, a->second, 0);
-    // The last of a gang to be committed makes all of it ready to be ordered.
-    if (job->is_gang() && job->proposed == 0)
-      for (auto& [other, b] : job->attempts) direct_command_due_.insert(b.machine);
+    lifecycle_.mark_placed(*job, a->second, now);
   }
   for (const auto& [j, t] : f.ended) {
-    Job* job = find(j);
+    Job* job = jobs_.find(j);
     if (!job || job->state == JobState::cancelled) continue;
     auto a = job->attempts.find(t);
     if (a != job->attempts.end() && a->second.state == AttemptState::ended) {
-      release(*job, t);
+      lifecycle_.release(*job, t);
       needs_round_ = true;
     }
   }
@@ -554,22 +454,22 @@
 
 void Scheduler::settle_closing(const InFlightTransaction& f, const ledger::Result& r) {
   for (Index j : f.jobs) {
-    Job* job = find(j);
+    Job* job = jobs_.find(j);
     if (!job) continue;
     if (r.outcome != Outcome::applied) {
-      if (job->state == JobState::closing) set_state(*job, JobState::open);
+      if (job->state == JobState::closing) JobTable::set_state(*job, JobState::open);
       continue;
     }
     job->version = r.revision;
-    if (!set_state(*job, JobState::done)) continue;
-    while (!job->attempts.empty()) release(*job, job->attempts.begin()->first);
+    if (!JobTable::set_state(*job, JobState::done)) continue;
+    while (!job->attempts.empty()) lifecycle_.release(*job, job->attempts.begin()->first);
     spdlog::debug("job {} is done", job->spec.id);
   }
 }
 
 size_t Scheduler::unsent() const {
-  size_t n = closing_.size() + in_flight_transactions_.size();
-  for (const Page& p : pages_) n += p.dirty_since >= 0;
+  size_t n = jobs_.completed().size() + in_flight_transactions_.size();
+  for (const Page& p : pages_.all()) n += p.dirty_since >= 0;
   return n;
 }
 
--- /dev/null
+++ b/src/workers/fault_detector.cpp
@@ -0,0 +1,71 @@
+#include "workers/fault_detector.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <cmath>
+#include <cstddef>
+#include <cstdint>
+
+namespace rookdyke {
+
+namespace {
+
+// A machine is cordoned after errors of this many distinct jobs without a success between them.
+constexpr size_t kFaultyMachineAfterJobs = 2;
+// After its first error a machine takes no new work for this long, unless it succeeds.
+constexpr double kSuspectFor = 20;
+// A job that failed on this many machines, or twice as often, is taken for faulty itself.
+constexpr size_t kFaultyJobAfterMachines = 3;
+constexpr double kErrorBackOff = 0.5;
+// Of a faulty job: doubled with each error.
+constexpr double kFaultyJobBackOff = 2;
+constexpr double kLongestBackOff = 60;
+constexpr uint32_t kMaxBackOffDoublings = 6;
+
+}  // namespace
+
+bool FaultDetector::is_faulty(const Job& job) {
+  return job.failed_machines.size() >= kFaultyJobAfterMachines ||
+         job.errors > 2 * kFaultyJobAfterMachines;
+}
+
+// It waits ever longer and blames no machine.
+void FaultDetector::record_faulty_job(Job& job, double now) {
+  const double wait = std::min(
+      kLongestBackOff, kFaultyJobBackOff * std::exp2(std::min(job.errors, kMaxBackOffDoublings)));
+  job.not_before = std::max(job.not_before, now + wait);
+  for (Index i : job.failed_machines) {
+    Machine& machine = machines_[i];
+    if (machine.failed_jobs.erase(job.id) > 0 && machine.failed_jobs.empty())
+      machine.suspect_until = 0;
+  }
+}
+
+void FaultDetector::record_error(Machine& machine, Job& job, double now) {
+  job.failed_machines.insert(machine.index);
+  ++job.errors;
+  if (is_faulty(job)) return record_faulty_job(job, now);
+  job.not_before = std::max(job.not_before, now + kErrorBackOff);
+  machine.failed_jobs.insert(job.id);
+  machine.suspect_until = now + kSuspectFor;
+  if (machine.failed_jobs.size() >= kFaultyMachineAfterJobs && !machine.cordoned) {
+    spdlog::warn("machine {} failed tasks of {} jobs in a row: cordoned", machine.name,
+                 machine.failed_jobs.size());
+    machine.cordoned = true;
+    MachineTable::drain(machine, now, "faulty");
+  }
+}
+
+void FaultDetector::record_success(Machine& machine) {
+  machine.failed_jobs.clear();
+  machine.suspect_until = 0;
+}
+
+void FaultDetector::record_success(Machine& machine, Job& job) {
+  job.failed_machines.clear();
+  job.errors = 0;
+  record_success(machine);
+}
+
+}  // namespace rookdyke
--- /dev/null
+++ b/src/workers/fault_detector.h
@@ -0,0 +1,32 @@
+#pragma once
+// Tells faulty machines from faulty jobs by the tasks that fail: a machine on which several jobs
+// fail in a row is cordoned, a job that fails on several machines waits ever longer.
+
+#include "model/job.h"
+#include "model/machine.h"
+#include "scheduler/machine_table.h"
+
+namespace rookdyke {
+
+class FaultDetector {
+ public:
+  // `machines` must outlive this object.
+  explicit FaultDetector(MachineTable& machines) : machines_(machines) {}
+
+  // A task of the job has failed on the machine.
+  void record_error(Machine& machine, Job& job, double now);
+  // A task has succeeded on the machine.
+  static void record_success(Machine& machine);
+  // A replica of the job has run there for long enough to show that neither is faulty.
+  static void record_success(Machine& machine, Job& job);
+
+  // Whether the job failed so widely since it last succeeded that the mistake is its own.
+  static bool is_faulty(const Job& job);
+
+ private:
+  void record_faulty_job(Job& job, double now);
+
+  MachineTable& machines_;
+};
+
+}  // namespace rookdyke
