--- /dev/null
+++ b/src/daemon/cancellation_notifier.h
@@ -0,0 +1,51 @@
+#pragma once
+// Notifies the leader of cancelled jobs whose users wait to hear of it (CancellationGate), and, as
+// the leader, publishes in the ledger how far it has read where the mesh does not reach all
+// siblings.
+
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+#include <variant>
+
+#include "config/config.h"
+#include "daemon/shared_state.h"
+#include "daemon/transaction_ids.h"
+#include "mesh/mesh.h"
+#include "state/client.h"
+
+namespace rookdyke {
+
+class CancellationNotifier {
+ public:
+  // All arguments must outlive this object.
+  CancellationNotifier(const Config& config, SharedState& shared, state::RateLimiters& limiters,
+                       TransactionIds& ids);
+
+  // The thread's loop; returns after SharedState::stop.
+  void run();
+
+ private:
+  struct Notification {
+    std::string leader;
+    mesh::Cancelled message;
+  };
+  // std::monostate: nothing, after a wait for something.
+  using Work = std::variant<std::monostate, ledger::Transaction, Notification>;
+
+  Work wait_for_work();
+  ledger::Transaction publication(ControllerState& state);
+  Notification next_notification(ControllerState& state);
+
+  void perform(std::monostate none);
+  void perform(const ledger::Transaction& publication);
+  void perform(const Notification& notification);
+
+  SharedState& shared_;
+  TransactionIds& ids_;
+  state::Client client_;
+  std::map<std::string, std::unique_ptr<mesh::Peer>> peers_;  // by label
+};
+
+}  // namespace rookdyke
--- /dev/null
+++ b/src/daemon/cloud_reconciler.cpp
@@ -0,0 +1,127 @@
+#include "daemon/cloud_reconciler.h"
+
+#include <algorithm>
+#include <optional>
+
+#include "net/steady_clock.h"
+
+namespace rookdyke {
+
+namespace {
+
+constexpr double kTypesIntervalS = 20;
+constexpr double kTypesRetryS = 0.7;
+constexpr double kTypesWriteWaitS = 1;  // for the budget of changes
+// Machine lists are read a little more often than the cloud's list lags.
+constexpr double kListLagFactor = 0.7;
+constexpr double kShortestListIntervalS = 2;
+// Waits while there is nothing to ask for: without the right to, and with it.
+constexpr double kPassiveIntervalS = 0.7;
+constexpr double kIdleIntervalS = 0.5;
+constexpr double kShortestIdleIntervalS = 0.05;
+
+}  // namespace
+
+CloudReconciler::CloudReconciler(const Config& config, SharedState& shared,
+                                 net::RateLimiter& cloud_limiter,
+                                 state::RateLimiters& state_limiters)
+    : shared_(shared),
+      cloud_(config.cloud, cloud_limiter),
+      state_client_(config.state, state_limiters),
+      list_interval_s_(
+          std::max(kShortestListIntervalS, config.scheduler.list_lag_s * kListLagFactor)) {}
+
+void CloudReconciler::run() {
+  while (!shared_.stopping()) {
+    const Work work = wait_for_work();
+    std::visit([&](const auto& action) { perform(action, work.fencing_token); }, work.action);
+  }
+}
+
+CloudReconciler::Work CloudReconciler::wait_for_work() {
+  auto state = shared_.lock();
+  double longest_wait_s = 0;
+  Work work;
+  work.action = next_action(*state, steady_now(), longest_wait_s);
+  work.fencing_token = state->fencing_token();
+  if (std::holds_alternative<std::monostate>(work.action))
+    shared_.wait_for(state, shared_.wakeups().cloud, longest_wait_s);
+  return work;
+}
+
+// Without an action, `longest_wait_s` says when to ask again.
+CloudReconciler::Action CloudReconciler::next_action(ControllerState& state, double now,
+                                                     double& longest_wait_s) {
+  const bool may_decide = state.may_decide(now);
+  if ((may_decide || !state.machine_types_known()) && now >= next_types_) {
+    const bool in_ledger = !state.ledger_cache().types().empty();
+    return FetchTypes{.store_in_ledger = may_decide && !in_ledger};
+  }
+  const bool unconfirmed = !may_decide && state.is_unconfirmed_leader(now);
+  longest_wait_s = kPassiveIntervalS;
+  if (!may_decide && !unconfirmed) return std::monostate{};
+  Scheduler& scheduler = *state.scheduler();
+  if (auto names = scheduler.next_return(now, unconfirmed); !names.empty())
+    return ReturnMachines{std::move(names)};
+  if (unconfirmed) return std::monostate{};
+  if (auto request = scheduler.next_rental_request(now)) return RentMachines{std::move(*request)};
+  if (now >= next_list_) return ListMachines{};
+  longest_wait_s = std::clamp(next_list_ - now, kShortestIdleIntervalS, kIdleIntervalS);
+  return std::monostate{};
+}
+
+void CloudReconciler::perform(std::monostate /*none*/, uint64_t /*fencing_token*/) {}
+
+void CloudReconciler::perform(const FetchTypes& action, uint64_t fencing_token) {
+  const auto types = cloud_.types();
+  bool store = false;
+  {
+    auto state = shared_.lock();
+    next_types_ = steady_now() + (types ? kTypesIntervalS : kTypesRetryS);
+    if (!types) return;
+    if (Scheduler* scheduler = state->scheduler_of_term(fencing_token))
+      scheduler->set_prices(*types);
+    state->set_cloud_types(*types);
+    shared_.wakeups().election.notify_all();
+    store = action.store_in_ledger && state->fencing_token() == fencing_token;
+  }
+  if (store) store_types(*types, fencing_token);
+}
+
+// If there are none. Without an outcome: whoever leads next writes them.
+void CloudReconciler::store_types(const std::vector<MachineType>& types, uint64_t fencing_token) {
+  ledger::Transaction transaction;
+  transaction.conditions = {{ledger::kLeaderKey, fencing_token}, {ledger::kTypesKey, 0}};
+  transaction.changes = {{ledger::kTypesKey, false, ledger::encode_types(types), 0}};
+  state_client_.commit(transaction, kTypesWriteWaitS);
+}
+
+void CloudReconciler::perform(const ReturnMachines& action, uint64_t fencing_token) {
+  const CloudOutcome outcome = cloud_.return_machines(action.names, may_send(fencing_token));
+  auto state = shared_.lock();
+  if (Scheduler* scheduler = state->scheduler_of_term(fencing_token))
+    scheduler->on_return(action.names, outcome, steady_now());
+  shared_.wakeups().transactions.notify_all();
+}
+
+void CloudReconciler::perform(const RentMachines& action, uint64_t fencing_token) {
+  const cloud::Client::RentalResult result = cloud_.rent(action.request, may_send(fencing_token));
+  auto state = shared_.lock();
+  if (Scheduler* scheduler = state->scheduler_of_term(fencing_token))
+    scheduler->on_rental_result(action.request, result.outcome, result.machines, steady_now());
+}
+
+void CloudReconciler::perform(const ListMachines& /*action*/, uint64_t fencing_token) {
+  const double asked = steady_now();
+  const auto list = cloud_.list();
+  auto state = shared_.lock();
+  next_list_ = steady_now() + list_interval_s_;
+  Scheduler* scheduler = state->scheduler_of_term(fencing_token);
+  if (list && scheduler) scheduler->on_machine_list(*list, asked, steady_now());
+}
+
+cloud::Client::MaySend CloudReconciler::may_send(uint64_t fencing_token) {
+  return [this, fencing_token] { return shared_.term_confirmed(fencing_token); };
+}
+
+}  // namespace rookdyke
--- /dev/null
+++ b/src/daemon/controller_state.cpp
@@ -0,0 +1,246 @@
+#include "daemon/controller_state.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <chrono>
+
+#include "net/steady_clock.h"
+
+namespace rookdyke {
+
+namespace {
+
+constexpr double kCooldownS = 12;
+// The leader's share of the requests to the cloud, and what the followers divide.
+constexpr double kLeaderCloudShare = 0.7;
+constexpr double kFollowersCloudShare = 0.25;
+// What all replicas use of a limit together.
+constexpr double kUsedShare = 0.95;
+// An unconfirmed leader keeps its workers' leases alive no longer than this: no outage that the
+// service is meant to survive lasts as long, and one that is partitioned has to end some time.
+constexpr double kMaxUnconfirmedS = 60;
+// An unconfirmed leader that hears no sibling either for this long is likelier partitioned than in
+// an outage: it leaves its workers to the leader that the others elect.
+constexpr double kIsolatedAfterS = 5;
+constexpr double kPublishIntervalS = 0.6;
+
+std::vector<std::string> labels_of(const std::vector<Sibling>& siblings) {
+  std::vector<std::string> labels;
+  labels.reserve(siblings.size());
+  for (const Sibling& sibling : siblings) labels.push_back(sibling.label);
+  return labels;
+}
+
+double seconds_since_epoch() {
+  return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
+}
+
+}  // namespace
+
+ControllerState::ControllerState(const Config& config, state::RateLimiters& state_limiters,
+                                 net::RateLimiter& cloud_limiter, const Reachability& reachability,
+                                 Wakeups& wakeups)
+    : config_(config),
+      state_limiters_(state_limiters),
+      cloud_limiter_(cloud_limiter),
+      reachability_(reachability),
+      wakeups_(wakeups),
+      write_share_(config.scheduler.label, labels_of(config.siblings), config.nodes,
+                   config.write_rps) {}
+
+// ---------------------------------------------------------------- role
+
+void ControllerState::start(double now) {
+  lease_clock_ = LeaseClock(now);
+  cancellation_staleness_ = config_.nodes == 1 ? CancellationStaleness::of_only_controller()
+                                               : CancellationStaleness(labels_of(config_.siblings));
+  set_role(Role::follower, "start");
+}
+
+void ControllerState::set_role(Role to, const std::string& why) {
+  if (role_ != to || to == Role::follower)
+    spdlog::info("role: {} -> {} ({})", to_string(role_), to_string(to), why);
+  role_ = to;
+  const int followers = config_.nodes - 1;
+  const bool has_leader_share = leads() || to == Role::campaigning;
+  const double request_share = followers == 0     ? kUsedShare
+                               : has_leader_share ? kLeaderRequestShare
+                                                  : (kUsedShare - kLeaderRequestShare) / followers;
+  const double cloud_share = followers == 0     ? kUsedShare
+                             : has_leader_share ? kLeaderCloudShare
+                                                : kFollowersCloudShare / followers;
+  state_limiters_.requests.set_share(request_share);
+  update_write_share(steady_now());
+  cloud_limiter_.set_share(cloud_share);
+}
+
+void ControllerState::end_cooldown_if_over(double now) {
+  if (role_ == Role::cooldown && now >= cooldown_until_)
+    set_role(Role::follower, "cooldown is over");
+}
+
+bool ControllerState::begin_campaign() {
+  if (role_ != Role::follower || !ledger_cache_.leader().empty()) return false;
+  set_role(Role::campaigning, "nobody leads");
+  return true;
+}
+
+void ControllerState::abandon_campaign(const std::string& why) {
+  if (role_ == Role::campaigning) set_role(Role::follower, why);
+}
+
+void ControllerState::become_leader(uint64_t fencing_token, double now) {
+  fencing_token_ = fencing_token;
+  scheduler_ = std::make_unique<Scheduler>(config_.scheduler, machine_types(), fencing_token_, now);
+  scheduler_->set_day_offset(seconds_since_epoch() - now);
+  if (sizes_lowered_) scheduler_->apply_lowered_limits();
+  scheduler_->load(ledger_cache_, now);
+  if (image_locations_token_ > 0) scheduler_->load_image_locations(image_locations_, now);
+  learn_token(fencing_token_);
+  known_leader_ = config_.scheduler.label;
+  set_role(Role::leading, "elected with token " + std::to_string(fencing_token_));
+  wakeups_.peers.notify_all();
+  wakeups_.scheduling.notify_all();
+  wakeups_.cloud.notify_all();
+}
+
+void ControllerState::on_renewal(state::Client::Renewal outcome, double sent, double now) {
+  notice_stall(now);
+  lease_clock_.asked(sent);
+  if (!leads()) return;
+  if (outcome == state::Client::Renewal::kept) {
+    lease_clock_.kept(sent);
+    cancellation_staleness_.proven(sent);
+    if (role_ == Role::unconfirmed) set_role(Role::leading, "the lease is renewed");
+  } else if (outcome == state::Client::Renewal::ended) {
+    step_down(Role::follower, "the lease ended");
+  } else if (!lease_runs(now)) {
+    if (role_ == Role::leading) set_role(Role::unconfirmed, "the lease could not be renewed");
+    if (now - lease_clock_.kept_at() > kMaxUnconfirmedS)
+      step_down(Role::follower, "unconfirmed for too long");
+  }
+}
+
+void ControllerState::step_down(Role to, const std::string& why) {
+  scheduler_.reset();
+  fencing_token_ = 0;
+  if (to == Role::cooldown) cooldown_until_ = steady_now() + kCooldownS;
+  set_role(to, why);
+  wakeups_.election.notify_all();
+}
+
+Scheduler* ControllerState::scheduler_of_term(uint64_t fencing_token) {
+  return fencing_token_ == fencing_token ? scheduler_.get() : nullptr;
+}
+
+// ---------------------------------------------------------------- lease
+
+void ControllerState::notice_stall(double now) {
+  const double stall_s = lease_clock_.stall(now);
+  if (stall_s <= 0) return;
+  spdlog::warn("this process did not run for {:.1f} s", stall_s);
+  // Others seemed silent because this process was.
+  if (scheduler_) scheduler_->on_process_stall(stall_s, now);
+  sibling_heard_at_ = std::min(now, sibling_heard_at_ + stall_s);
+  wakeups_.election.notify_all();
+}
+
+bool ControllerState::lease_runs(double now) const {
+  return lease_clock_.runs(now, config_.lease_ttl_s);
+}
+
+bool ControllerState::lease_confirmed(double now) {
+  notice_stall(now);
+  return leads() && lease_clock_.lease_confirmed(now, config_.lease_ttl_s);
+}
+
+bool ControllerState::may_decide(double now) {
+  return role_ == Role::leading && scheduler_ && lease_confirmed(now);
+}
+
+bool ControllerState::is_unconfirmed_leader(double now) {
+  return role_ == Role::unconfirmed && scheduler_ && lease_confirmed(now);
+}
+
+// ---------------------------------------------------------------- ledger
+
+void ControllerState::apply(const wire::Row& row) {
+  if (row.erased) {
+    ledger_cache_.erase(row.key, row.version);
+    return;
+  }
+  ledger_cache_.put(row.key, row.value, row.version);
+  if (!scheduler_) return;
+  static const std::string prefix = ledger::kJobPrefix;
+  if (row.key.compare(0, prefix.size(), prefix) != 0) return;
+  const std::string id = row.key.substr(prefix.size());
+  if (const CachedJob* job = ledger_cache_.job(id)) scheduler_->on_job_row(*job, id, steady_now());
+}
+
+std::vector<MachineType> ControllerState::machine_types() const {
+  return !ledger_cache_.types().empty() ? ledger_cache_.types() : cloud_types_;
+}
+
+bool ControllerState::machine_types_known() const {
+  return !ledger_cache_.types().empty() || !cloud_types_.empty();
+}
+
+// ---------------------------------------------------------------- siblings
+
+uint64_t ControllerState::known_token() const {
+  const uint64_t in_ledger = ledger_cache_.leader().empty() ? 0 : ledger_cache_.leader_version();
+  return std::max({highest_token_, fencing_token_, in_ledger});
+}
+
+bool ControllerState::learn_leader(uint64_t fencing_token, const std::string& leader) {
+  if (fencing_token <= highest_token_) return false;
+  highest_token_ = fencing_token;
+  known_leader_ = leader;
+  return true;
+}
+
+void ControllerState::learn_token(uint64_t fencing_token) {
+  highest_token_ = std::max(highest_token_, fencing_token);
+}
+
+bool ControllerState::is_isolated(double now) const {
+  return !config_.siblings.empty() && now - sibling_heard_at_ > kIsolatedAfterS &&
+         now - reachability_.state_answered_at() > kIsolatedAfterS;
+}
+
+void ControllerState::learn_image_locations(const nlohmann::json& locations,
+                                            uint64_t fencing_token) {
+  if (locations.is_null() || fencing_token < image_locations_token_) return;
+  image_locations_ = locations;
+  image_locations_token_ = fencing_token;
+}
+
+// ---------------------------------------------------------------- cancellations
+
+bool ControllerState::knows_cancellations(double now) const {
+  return now - cancellation_staleness_.at() <=
+         staleness_limit(config_.scheduler.cancel_s, config_.scheduler.lease_s);
+}
+
+bool ControllerState::must_publish_read_to(double now) const {
+  if (role_ != Role::leading || ledger_cache_.last_cancelled() <= ledger_cache_.read_to())
+    return false;
+  if (now - read_to_published_at_ < kPublishIntervalS) return false;
+  return write_share_.reachable_siblings(now) < config_.nodes - 1;
+}
+
+// ---------------------------------------------------------------- limits of the state service
+
+void ControllerState::update_write_share(double now) {
+  write_share_.set_limit(state_limiters_.update_write_rate());
+  const std::string leader = leads() ? config_.scheduler.label : known_leader_;
+  state_limiters_.writes.set_share(write_share_.share(leader, now));
+}
+
+void ControllerState::lower_sizes() {
+  sizes_lowered_ = true;
+  if (scheduler_) scheduler_->apply_lowered_limits();
+}
+
+}  // namespace rookdyke
--- /dev/null
+++ b/src/daemon/mesh_endpoint.cpp
@@ -0,0 +1,46 @@
+#include "daemon/mesh_endpoint.h"
+
+#include <nlohmann/json.hpp>
+
+#include "daemon/http_reply.h"
+#include "net/steady_clock.h"
+
+namespace rookdyke {
+
+namespace {
+constexpr const char* kContentType = "application/json";
+}  // namespace
+
+void MeshEndpoint::serve(const httplib::Request& request, httplib::Response& response) {
+  const bool post = request.method == "POST";
+  if (post && request.target == mesh::kCancelled) {
+    const auto cancelled = mesh::decode_cancelled(request.body);
+    const nlohmann::json answer = {{"token", cancelled ? on_cancelled(*cancelled) : 0}};
+    response.set_content(answer.dump(), kContentType);
+  } else if (post && request.target == mesh::kView) {
+    if (const auto view = mesh::decode(request.body)) peers_.on_view(*view);
+    response.set_content(mesh::text(peers_.view()), kContentType);
+  } else {
+    response.status = http_status::kNotFound;
+  }
+}
+
+// Rows of cancelled jobs. Returns the fencing token under which their tasks will be stopped; 0 if
+// that cannot be promised.
+uint64_t MeshEndpoint::on_cancelled(const mesh::Cancelled& cancelled) {
+  auto state = shared_.lock();
+  if (state->leads() && cancelled.fencing_token > state->fencing_token())
+    state->step_down(Role::follower, "a sibling knows a newer leader");
+  const Scheduler* scheduler = state->scheduler();
+  if (!state->leads() || !scheduler || scheduler->has_lost_leadership() ||
+      !state->lease_confirmed(steady_now()))
+    return 0;
+  for (const mesh::Cancelled::Row& message_row : cancelled.rows) {
+    const auto row = ledger::decode_job(message_row.job, message_row.value);
+    if (!row || row->status != ledger::JobStatus::cancelled) return 0;
+    state->apply({ledger::job_key(message_row.job), message_row.value, message_row.version, false});
+  }
+  return state->fencing_token();
+}
+
+}  // namespace rookdyke
--- /dev/null
+++ b/src/daemon/mesh_endpoint.h
@@ -0,0 +1,27 @@
+#pragma once
+// Serves the siblings' requests on mesh_addr: views, and notifications of cancellations.
+
+#include <httplib.h>
+
+#include "daemon/peer_exchange.h"
+#include "daemon/shared_state.h"
+#include "mesh/mesh.h"
+
+namespace rookdyke {
+
+// Thread-safe.
+class MeshEndpoint {
+ public:
+  // Both must outlive this object.
+  MeshEndpoint(SharedState& shared, PeerExchange& peers) : shared_(shared), peers_(peers) {}
+
+  void serve(const httplib::Request& request, httplib::Response& response);
+
+ private:
+  uint64_t on_cancelled(const mesh::Cancelled& cancelled);
+
+  SharedState& shared_;
+  PeerExchange& peers_;
+};
+
+}  // namespace rookdyke
--- /dev/null
+++ b/src/daemon/replica_ledger.h
@@ -0,0 +1,43 @@
+#pragma once
+// The ledger as users' requests see and write it through this replica (JobLedger).
+
+#include <functional>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "api/user_api.h"
+#include "daemon/reachability.h"
+#include "daemon/read_barrier.h"
+#include "daemon/shared_state.h"
+#include "daemon/transaction_ids.h"
+#include "state/connection_pool.h"
+
+namespace rookdyke {
+
+// Thread-safe.
+class ReplicaLedger : public JobLedger {
+ public:
+  // All arguments must outlive this object.
+  ReplicaLedger(const Config& config, SharedState& shared, state::RateLimiters& limiters,
+                ReadBarrier& read_barrier, const Reachability& reachability, TransactionIds& ids);
+
+  bool wait_for_barrier(double timeout_s) override;
+  void read(const std::function<void(const LedgerCache&)>& look) const override;
+  std::vector<MachineType> machine_types() const override;
+  std::string new_transaction_id() override;
+  std::optional<ledger::Result> commit(const ledger::Transaction& transaction,
+                                       double deadline) override;
+  void apply_committed(const wire::Row& row) override;
+  bool may_confirm_cancelled(const std::string& job, double deadline, uint64_t leader) override;
+  bool siblings_are_served() const override;
+
+ private:
+  SharedState& shared_;
+  ReadBarrier& read_barrier_;
+  const Reachability& reachability_;
+  TransactionIds& ids_;
+  state::ConnectionPool connections_;
+};
+
+}  // namespace rookdyke
--- /dev/null
+++ b/src/daemon/shared_state.cpp
@@ -0,0 +1,33 @@
+#include "daemon/shared_state.h"
+
+#include <algorithm>
+#include <chrono>
+
+#include "net/steady_clock.h"
+
+namespace rookdyke {
+
+namespace {
+constexpr double kShortestWaitS = 0.001;
+}  // namespace
+
+void SharedState::wait_for(Lock& lock, std::condition_variable& wakeup, double longest_s) {
+  if (stopping_) return;
+  const std::chrono::duration<double> longest(std::max(kShortestWaitS, longest_s));
+  wakeup.wait_for(lock.mutex_lock(), longest);
+}
+
+bool SharedState::term_confirmed(uint64_t fencing_token) {
+  auto state = lock();
+  return state->fencing_token() == fencing_token && state->lease_confirmed(steady_now());
+}
+
+bool SharedState::stop() {
+  if (stopping_.exchange(true)) return false;
+  auto state = lock();  // whoever has seen `stopping_` unset waits by now
+  wakeups_.notify_all();
+  state->cancellation_gate().stop();
+  return true;
+}
+
+}  // namespace rookdyke
