--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -250,5 +250,237 @@
   EXPECT_EQ(key_path("rd/t/wk-000001/3"), "/keys/rd/t/wk-000001/3");
 }
 
+// The bytes of every message that this program sends, written out in full: MessagePack tells whole
+// numbers from amounts, so 10 and 10.0 differ here.
+void expect_bytes(const json& message, const char* expected) {
+  EXPECT_EQ(pack(message), pack(json::parse(expected))) << message;
+}
+
+TEST(Wire, BytesOfAnswersToUsers) {
+  JobAnswer answer;
+  answer.done = 3;
+  expect_bytes(job_answer("wk-000001", answer, false),
+               R"({"id":"wk-000001","standing":"pending"})");
+  answer.running = 2;
+  expect_bytes(job_answer("wk-000001", answer, true),
+               R"({"id":"wk-000001","standing":"running","done":3,"running":2})");
+  answer.status = ledger::JobStatus::done;
+  expect_bytes(job_answer("wk-000001", answer, false), R"({"id":"wk-000001","standing":"done"})");
+  answer.status = ledger::JobStatus::cancelled;
+  expect_bytes(job_answer("wk-000001", answer, false),
+               R"({"id":"wk-000001","standing":"aborted"})");
+}
+
+TEST(Wire, BytesOfCommandsToWorkers) {
+  const std::vector<WorkerCommand> commands = {{CommandKind::start, "wk-000001", 0, 1, 5},
+                                               {CommandKind::stop, "wk-000002", 7, 2, 10},
+                                               {CommandKind::forget, "wk-000003", 99, 3, 0}};
+  expect_bytes(report_answer(41, commands),
+               R"({"warrant":41,"orders":[{"verb":"run","shift":"wk-000001/0","go":1},
+                   {"verb":"stop","shift":"wk-000002/7","go":2,"leave_s":10.0},
+                   {"verb":"clear","shift":"wk-000003/99","go":3}]})");
+  DirectCommand command;
+  command.epoch = 6;
+  expect_bytes(direct(41, command), R"({"warrant":41,"tenure":6,"orders":[]})");
+  expect_bytes(redirect("croft-2"), R"({"steward":"croft-2"})");
+  expect_bytes(redirect(""), "{}");
+}
+
+TEST(Wire, BytesOfCallsToTheCloud) {
+  RentalRequest request;
+  request.name = "r-17";
+  request.type = "g8";
+  request.zone = "a";
+  request.spot = true;
+  request.count = 12;
+  expect_bytes(rent(request),
+               R"({"hire":"r-17","breed":"g8","yard":"a","loaners":true,"how_many":12})");
+  expect_bytes(return_machines({"m-1", "m-2"}), R"({"crofts":["m-1","m-2"]})");
+  EXPECT_EQ(list_path("", 500), "/machines?most=500");
+  EXPECT_EQ(list_path("m 1", 500), "/machines?most=500&after=m%201");
+}
+
+TEST(Wire, BytesOfCallsToTheStateService) {
+  ledger::Transaction t;
+  t.conditions = {{"a/b", 0}};
+  t.changes = {{"a/b", false, {{"x", 1.0}}, 7}, {"c/d", true, {}, 0}, {"e", false, 5, 0}};
+  expect_bytes(transaction(t), R"({"if":[{"k":"a/b","stamp":0}],
+      "then":[{"write":"a/b","v":{"x":1.0},"tether":7},{"delete":"c/d"},{"write":"e","v":5}]})");
+  expect_bytes(lease(2.5), R"({"ttl_ms":2500})");
+  EXPECT_EQ(key_path("rd/j/wk 1"), "/keys/rd/j/wk%201");
+  EXPECT_EQ(range_path("rd/", "", 100), "/keys?under=rd/&most=100");
+  EXPECT_EQ(range_path("rd/", "rd/j/?", 100), "/keys?under=rd/&most=100&after=rd/j/%3F");
+  EXPECT_EQ(watch_path("rd/", 7, 200), "/watch?under=rd/&after=7&hold_ms=200");
+}
+
+// Every field of a job lands where it belongs.
+TEST(Wire, ReadsEveryFieldOfAJob) {
+  json j = good();
+  j["yard"] = "a";
+  j["due_s"] = 900.5;
+  std::string error;
+  const auto s = parse_job(j, error);
+  ASSERT_TRUE(s) << error;
+  EXPECT_EQ(s->id, "wk-000412");
+  EXPECT_EQ(s->job_class, "train");
+  EXPECT_EQ(s->team, "vision");
+  EXPECT_EQ(s->image, "img-07");
+  EXPECT_EQ(s->zone, "a");
+  EXPECT_DOUBLE_EQ(s->per_task.cpus, 8);
+  EXPECT_DOUBLE_EQ(s->per_task.gpus, 1);
+  EXPECT_DOUBLE_EQ(s->per_task.memory_gb, 64);
+  EXPECT_DOUBLE_EQ(s->image_gb, 6.2);
+  EXPECT_TRUE(s->single_zone);
+  EXPECT_FALSE(s->spread_zones);
+  EXPECT_TRUE(s->spot);
+  EXPECT_DOUBLE_EQ(s->expected_runtime_s, 240);
+  EXPECT_DOUBLE_EQ(s->checkpoint_interval_s, 30);
+  EXPECT_DOUBLE_EQ(s->checkpoint_duration_s, 4);
+  EXPECT_DOUBLE_EQ(s->deadline_s, 900.5);
+}
+
+// Of several bad fields the answer names the last in this order.
+TEST(Wire, NamesTheLastBadField) {
+  EXPECT_EQ(error_of(json::array()), "not a map");
+  json j = good();
+  for (const char* f :
+       {"yard",     "breeds",     "loaners",  "scatter", "one_zone", "due_s", "stow_s",
+        "marker_s", "expected_s", "image_gb", "mem_gb",  "gpus",     "cpus",  "shifts",
+        "rank",     "shape",      "kit",      "crew",    "lot",      "id"}) {
+    json one = good();
+    one[f] = json::object();
+    EXPECT_EQ(error_of(one), f);
+  }
+  for (const char* f :
+       {"id",    "lot",      "crew",    "kit",      "shape",      "rank",     "shifts",
+        "cpus",  "gpus",     "mem_gb",  "image_gb", "expected_s", "marker_s", "stow_s",
+        "due_s", "one_zone", "scatter", "loaners",  "breeds",     "yard"}) {
+    j[f] = json::object();
+    EXPECT_EQ(error_of(j), f);
+  }
+}
+
+TEST(Wire, ReadsEveryValueOfAReport) {
+  const std::vector<std::pair<const char*, TaskPhase>> phases = {
+      {"pulling", TaskPhase::fetching},
+      {"gathering", TaskPhase::gang_waiting},
+      {"running", TaskPhase::running},
+      {"saving", TaskPhase::checkpointing},
+      {"exited", TaskPhase::exited}};
+  for (const auto& [value, phase] : phases) {
+    json j = good_report();
+    j["shifts"][0]["standing"] = value;
+    const auto r = parse_heartbeat(j);
+    ASSERT_TRUE(r) << value;
+    EXPECT_EQ(r->tasks.at(0).phase, phase) << value;
+  }
+  const std::vector<std::pair<const char*, ExitCause>> causes = {
+      {"done", ExitCause::done},
+      {"halted", ExitCause::stopped},
+      {"peers", ExitCause::gang_peer_lost},
+      {"alone", ExitCause::gang_timeout},
+      {"no_room", ExitCause::insufficient_resources},
+      {"in_use", ExitCause::already_present},
+      {"no_such", ExitCause::unknown_task},
+      {"error", ExitCause::error},
+      {"unheard_of", ExitCause::error}};
+  for (const auto& [value, cause] : causes) {
+    json j = good_report();
+    j["shifts"][0]["standing"] = "exited";
+    j["shifts"][0]["cause"] = value;
+    const auto r = parse_heartbeat(j);
+    ASSERT_TRUE(r) << value;
+    EXPECT_EQ(r->tasks.at(0).cause, cause) << value;
+  }
+  json j = good_report();
+  j["shifts"][0]["standing"] = "unheard_of";
+  EXPECT_FALSE(parse_heartbeat(j));
+  const auto r = parse_heartbeat(good_report());
+  EXPECT_EQ(r->machine, "m-1");
+  EXPECT_EQ(r->addr, "h:1");
+  EXPECT_EQ(r->type, "g8");
+  EXPECT_EQ(r->zone, "a");
+  EXPECT_TRUE(r->spot);
+  EXPECT_EQ(r->seq, 88u);
+  EXPECT_DOUBLE_EQ(r->notice_s, 12.5);
+  EXPECT_EQ(r->tasks.at(0).attempt, 2u);
+}
+
+TEST(Wire, ReadsTheCloudsLists) {
+  const auto types = parse_types(good_types());
+  ASSERT_TRUE(types);
+  const MachineType& t = types->at(0);
+  EXPECT_EQ(t.name, "g8");
+  EXPECT_DOUBLE_EQ(t.size.cpus, 96);
+  EXPECT_DOUBLE_EQ(t.size.gpus, 8);
+  EXPECT_DOUBLE_EQ(t.size.memory_gb, 768);
+  EXPECT_DOUBLE_EQ(t.cache_gb, 200);
+  EXPECT_DOUBLE_EQ(t.fetch_gb_per_s, 1);
+  EXPECT_DOUBLE_EQ(t.price, 12);
+  EXPECT_DOUBLE_EQ(t.spot_price, 4.5);
+  EXPECT_DOUBLE_EQ(t.boot_s, 45);
+  EXPECT_EQ(t.zones, (std::vector<std::string>{"a", "b"}));
+  const json least = {{"name", "x"}, {"cpus", 1}, {"gpus", 0}, {"mem_gb", 1}, {"yards", {"a"}}};
+  const auto defaults = parse_types({{"breeds", {least}}});
+  ASSERT_TRUE(defaults);
+  EXPECT_DOUBLE_EQ(defaults->at(0).fetch_gb_per_s, 1);
+  EXPECT_DOUBLE_EQ(defaults->at(0).boot_s, 60);
+
+  const json listed = {{"crofts",
+                        {{{"id", "m-1"}, {"standing", "running"}, {"age_s", 61.5}},
+                         {{"id", "m-2"},
+                          {"addr", "h:1"},
+                          {"breed", "g8"},
+                          {"yard", "a"},
+                          {"loaners", true},
+                          {"standing", "failed"}},
+                         {{"id", 3}},
+                         {{"id", "m-4"}, {"standing", "unheard_of"}}}},
+                       {"truncated", true}};
+  bool more = false;
+  const auto machines = parse_machines(listed, more);
+  ASSERT_TRUE(machines);
+  EXPECT_TRUE(more);
+  ASSERT_EQ(machines->size(), 3u);
+  EXPECT_EQ(machines->at(0).state, ListedMachine::State::running);
+  EXPECT_DOUBLE_EQ(machines->at(0).age_s, 61.5);
+  EXPECT_EQ(machines->at(1).state, ListedMachine::State::failed);
+  EXPECT_EQ(machines->at(1).addr, "h:1");
+  EXPECT_EQ(machines->at(1).type, "g8");
+  EXPECT_EQ(machines->at(1).zone, "a");
+  EXPECT_TRUE(machines->at(1).spot);
+  EXPECT_EQ(machines->at(2).state, ListedMachine::State::booting);
+  EXPECT_EQ(parse_hired({{"crofts", {"m-1", 2, "", "m-3"}}}),
+            (std::vector<std::string>{"m-1", "m-3"}));
+}
+
+TEST(Wire, ReadsAnswersOfTheStateService) {
+  EXPECT_EQ(parse_revision({{"ledger", 431}}), 431u);
+  EXPECT_EQ(parse_lease({{"tether", 7}}), 7u);
+  EXPECT_EQ(parse_failed({{"failed", {"a/b", 3, "c"}}}), (std::vector<std::string>{"a/b", "c"}));
+  const auto rows = parse_rows({{"rows", {{{"k", "a"}, {"v", {{"x", 1}}}, {"stamp", 4}}}},
+                                {"truncated", true},
+                                {"ledger", 9}});
+  ASSERT_TRUE(rows);
+  EXPECT_TRUE(rows->more);
+  EXPECT_EQ(rows->revision, 9u);
+  EXPECT_EQ(rows->rows.at(0).key, "a");
+  EXPECT_EQ(rows->rows.at(0).value, json({{"x", 1}}));
+  EXPECT_EQ(rows->rows.at(0).version, 4u);
+  const auto events = parse_events(
+      {{"ledger", 433},
+       {"log",
+        {{{"write", "c/9"}, {"v", 5}, {"stamp", 433}}, {{"delete", "c/d"}, {"stamp", 432}}}}});
+  ASSERT_TRUE(events);
+  EXPECT_EQ(events->revision, 433u);
+  EXPECT_EQ(events->rows.at(0).key, "c/9");
+  EXPECT_EQ(events->rows.at(0).value, 5);
+  EXPECT_EQ(events->rows.at(0).version, 433u);
+  EXPECT_FALSE(events->rows.at(0).erased);
+  EXPECT_EQ(events->rows.at(1).key, "c/d");
+  EXPECT_TRUE(events->rows.at(1).erased);
+  EXPECT_EQ(parse_events({{"ledger", 1}})->rows.size(), 0u);
+}
+
 }  // namespace
 }  // namespace rookdyke::wire
