--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -5,6 +5,7 @@
 #include <atomic>
 #include <chrono>
 #include <utility>
+#include <variant>
 
 #include "admission/admission.h"
 #include "net/server.h"
@@ -18,7 +19,6 @@
 
 namespace {
 
-constexpr const char* kType = "application/msgpack";
 // A user waits 5 s for an answer to a submission and 2 s for one to a poll.
 constexpr double kSubmitPatience = 3.0;
 constexpr double kPollPatience = 1.5;
@@ -36,7 +36,7 @@
 
 void reply(httplib::Response& response, int status, const json& body) {
   response.status = status;
-  response.set_content(wire::pack(body), kType);
+  response.set_content(wire::pack(body), wire::kContentType);
 }
 
 bool ends_with(const std::string& s, const std::string& end) {
@@ -54,18 +54,18 @@
 
 void UserApi::serve(const httplib::Request& request, httplib::Response& response) {
   const std::string path = request.target.substr(0, request.target.find('?'));
-  static const std::string jobs = std::string(wire::kJobs) + "/";
-  static const std::string abort_end = wire::kAbortEnd;
+  static const std::string jobs = std::string(wire::kJobsPath) + "/";
+  static const std::string abort_end = wire::kCancelSuffix;
   const bool post = request.method == "POST";
   const bool get = request.method == "GET";
-  if (path == wire::kJobs && post) return submit(request, response);
+  if (path == wire::kJobsPath && post) return submit(request, response);
   if (path.compare(0, jobs.size(), jobs) == 0) {
     const std::string rest = path.substr(jobs.size());
     if (post && ends_with(rest, abort_end))
       return abort(rest.substr(0, rest.size() - abort_end.size()), response);
     if (get) return poll(rest, response);
   }
-  reply(response, 404, {{"error", "no such path"}});
+  reply(response, 404, wire::refusal("no such path"));
 }
 
 // ---------------------------------------------------------------- submissions
@@ -74,9 +74,9 @@
   const double deadline = steady_now() + kSubmitPatience;
   const auto body = wire::unpack(request.body);
   if (!body || !body->is_object())
-    return reply(response, 400, {{"error", "not a MessagePack map"}});
+    return reply(response, 400, wire::refusal("not a MessagePack map"));
   const auto id = wire::job_id(*body);
-  if (!id) return reply(response, 400, {{"error", "bad id"}});
+  if (!id) return reply(response, 400, wire::refusal("bad id"));
 
   if (answer_if_seen(*id, deadline, response)) return;
   const auto spec = admit(*id, *body, deadline, response);
@@ -133,26 +133,26 @@
 // What the body asks for, if such a job can ever run; empty: it was answered.
 std::optional<JobSpec> UserApi::admit(const std::string& id, const json& body, double deadline,
                                       httplib::Response& response) {
-  std::string error;
-  auto spec = wire::parse_job(body, error);
-  if (!spec) {
+  wire::DecodedJob decoded = wire::parse_job(body);
+  if (const auto* error = std::get_if<wire::DecodeError>(&decoded)) {
     if (answer_if_accepted_elsewhere(id, deadline, response)) return std::nullopt;
-    spdlog::info("submission {} refused: {} is missing or invalid", id, error);
-    reply(response, 400, {{"error", "missing or invalid: " + error}});
+    spdlog::info("submission {} refused: {} is missing or invalid", id, error->field);
+    reply(response, 400, wire::refusal("missing or invalid: " + error->field));
     return std::nullopt;
   }
+  auto& spec = std::get<JobSpec>(decoded);
   const std::vector<MachineType> types = ledger_.machine_types();
   if (types.empty()) {
     refuse(response, "machine types are not known yet");
     return std::nullopt;
   }
-  if (const auto never = never_runs(*spec, types, settings_.teams, settings_.zones)) {
+  if (const auto never = never_runs(spec, types, settings_.teams, settings_.zones)) {
     if (answer_if_accepted_elsewhere(id, deadline, response)) return std::nullopt;
     spdlog::info("submission {} refused: {}", id, *never);
-    reply(response, 422, {{"error", *never}});
+    reply(response, 422, wire::refusal(*never));
     return std::nullopt;
   }
-  return spec;
+  return std::move(spec);
 }
 
 void UserApi::accept(const std::string& id, const JobSpec& spec, double deadline,
@@ -169,7 +169,7 @@
   const size_t size = ledger::value_size(value) + kRowOverhead;
   if (size > settings_.value_bytes) {
     if (answer_if_accepted_elsewhere(id, deadline, response)) return;
-    return reply(response, 400, {{"error", kTooLong}});
+    return reply(response, 400, wire::refusal(kTooLong));
   }
   // Invariant 1: accepted means that this create-if-absent was executed.
   t.conditions = {{ledger::job_key(id), 0}};
@@ -179,7 +179,8 @@
   if (result->outcome == Outcome::rejected) {
     // Since the state service has lowered its limits.
     if (answer_if_accepted_elsewhere(id, deadline, response)) return;
-    if (size > settings_.lasting_value_bytes()) return reply(response, 400, {{"error", kTooLong}});
+    if (size > settings_.lasting_value_bytes())
+      return reply(response, 400, wire::refusal(kTooLong));
     return refuse(response, kLedgerSilent);
   }
   if (result->outcome == Outcome::conflict) {
@@ -188,14 +189,14 @@
     return refuse(response, "try again");
   }
   ledger_.apply_committed({ledger::job_key(id), value, result->revision, false});
-  reply(response, 201, {{"id", id}, {"standing", "pending"}});
+  reply(response, 201, wire::job_accepted(id));
 }
 
 // ---------------------------------------------------------------- polls
 
 void UserApi::poll(const std::string& id, httplib::Response& response) {
   const double asked = steady_now();
-  if (!wire::valid_job_id(id)) return reply(response, 404, {{"error", "no such job"}});
+  if (!wire::valid_job_id(id)) return reply(response, 404, wire::refusal("no such job"));
   std::optional<JobAnswer> answer;
   bool unreadable = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
@@ -215,7 +216,7 @@
   });
   if (late) return refuse(response, "too late");
   if (unreadable) return refuse(response, kUnreadable);
-  if (!answer) return reply(response, 404, {{"error", "no such job"}});
+  if (!answer) return reply(response, 404, wire::refusal("no such job"));
   answer_job(id, *answer, true, asked + kPollPatience, response);
 }
 
@@ -269,7 +270,7 @@
     return std::nullopt;
   }
   if (!known) {
-    reply(response, 404, {{"error", "no such job"}});
+    reply(response, 404, wire::refusal("no such job"));
     return std::nullopt;
   }
   c.transaction.transaction_id = ledger_.new_transaction_id();
@@ -278,7 +279,7 @@
 
 void UserApi::abort(const std::string& id, httplib::Response& response) {
   const double deadline = steady_now() + kSubmitPatience;
-  if (!wire::valid_job_id(id)) return reply(response, 404, {{"error", "no such job"}});
+  if (!wire::valid_job_id(id)) return reply(response, 404, wire::refusal("no such job"));
   while (true) {
     auto c = prepare_cancellation(id, deadline, response);
     if (!c) return;
@@ -296,7 +297,7 @@
     ledger_.apply_committed({ledger::job_key(id), value, result->revision, false});
     if (!ledger_.may_confirm_cancelled(id, deadline, c->leader))
       return refuse(response, kLeaderUnaware, Elsewhere::always);
-    return reply(response, 200, {{"id", id}, {"standing", "aborted"}});
+    return reply(response, 200, wire::job_cancelled(id));
   }
 }
 
@@ -311,7 +312,7 @@
     response.set_header("Connection", "close");
     net::Server::close_after_answer();
   }
-  reply(response, 503, {{"error", why}});
+  reply(response, 503, wire::refusal(why));
 }
 
 }  // namespace rookdyke
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -41,7 +41,7 @@
 }
 
 std::optional<std::vector<MachineType>> Client::types() {
-  const Answer a = call(false, "/machine_types", nullptr);
+  const Answer a = call(false, wire::kMachineTypesPath, nullptr);
   if (a.status != 200) return std::nullopt;
   return wire::parse_types(a.body);
 }
@@ -49,16 +49,14 @@
 Client::RentalResult Client::rent(const RentalRequest& h, const MaySend& may_send) {
   RentalResult out;
   const json body = wire::rent(h);
-  const Answer a = call(true, "/machines", &body, may_send);
+  const Answer a = call(true, wire::kMachinesPath, &body, may_send);
   if (a.status == 200) {
-    if (auto names = wire::parse_hired(a.body)) {
+    if (auto names = wire::parse_rented(a.body)) {
       out.outcome = CloudOutcome::done;
       out.machines = std::move(*names);
     }
   } else if (a.status == 503) {
-    const bool full =
-        a.body.is_object() && a.body.contains("error") && a.body["error"] == "no capacity";
-    out.outcome = full ? CloudOutcome::no_capacity : CloudOutcome::refused;
+    out.outcome = wire::is_no_capacity(a.body) ? CloudOutcome::no_capacity : CloudOutcome::refused;
   } else if (a.status == 400) {
     spdlog::error("cloud: hire {} was malformed", h.name);
     out.outcome = CloudOutcome::no_capacity;
@@ -71,7 +69,7 @@
 CloudOutcome Client::return_machines(const std::vector<std::string>& names,
                                      const MaySend& may_send) {
   const json body = wire::return_machines(names);
-  const Answer a = call(true, "/machines/return", &body, may_send);
+  const Answer a = call(true, wire::kReturnPath, &body, may_send);
   if (a.status == 200) return CloudOutcome::done;
   return a.status != 0 || !a.sent ? CloudOutcome::refused : CloudOutcome::unknown;
 }
@@ -82,15 +80,16 @@
   while (true) {
     const Answer a = call(false, wire::list_path(after, 500), nullptr);
     if (a.status != 200) return std::nullopt;
-    bool more = false;
-    auto page = wire::parse_machines(a.body, more);
+    auto page = wire::parse_machines(a.body);
     if (!page) return std::nullopt;
-    if (!page->empty() && page->back().name <= after) return std::nullopt;  // it would never end
-    if (!page->empty()) after = page->back().name;
-    const bool empty = page->empty();
-    all.insert(all.end(), std::make_move_iterator(page->begin()),
-               std::make_move_iterator(page->end()));
-    if (!more || empty) return all;
+    std::vector<ListedMachine>& machines = page->machines;
+    if (machines.empty()) return all;
+    // A page that does not go on after the one before would be asked for without end.
+    if (machines.back().name <= after) return std::nullopt;
+    after = machines.back().name;
+    all.insert(all.end(), std::make_move_iterator(machines.begin()),
+               std::make_move_iterator(machines.end()));
+    if (!page->more) return all;
   }
 }
 
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -108,7 +108,8 @@
 ledger::Result Client::commit(const ledger::Transaction& t, double max_wait_s) {
   ledger::Result out;
   const json body = wire::transaction(t);
-  const Answer a = call("POST", "/txn", &body, static_cast<double>(t.changes.size()), max_wait_s);
+  const Answer a = call("POST", wire::kTransactionPath, &body,
+                        static_cast<double>(t.changes.size()), max_wait_s);
   if (a.status == 200) {
     const auto rev = wire::parse_revision(a.body);
     out.outcome = rev ? Outcome::applied : Outcome::unknown;
@@ -177,21 +178,19 @@
 
 std::optional<uint64_t> Client::grant(double ttl_s) {
   const json body = wire::lease(ttl_s);
-  const Answer a = call_first("POST", "/leases", &body);
+  const Answer a = call_first("POST", wire::kLeasesPath, &body);
   if (a.status != 200) return std::nullopt;
   return wire::parse_lease(a.body);
 }
 
 Client::Renewal Client::renew(uint64_t lease) {
   const json body = json::object();
-  const Answer a = call_first("POST", "/leases/" + std::to_string(lease) + "/renew", &body);
+  const Answer a = call_first("POST", wire::renewal_path(lease), &body);
   if (a.status == 200) return Renewal::kept;
   if (a.status == 404) return Renewal::ended;
   return Renewal::unknown;
 }
 
-void Client::drop(uint64_t lease) {
-  call("DELETE", "/leases/" + std::to_string(lease), nullptr, 0, 0.5);
-}
+void Client::drop(uint64_t lease) { call("DELETE", wire::lease_path(lease), nullptr, 0, 0.5); }
 
 }  // namespace rookdyke::state
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -17,14 +17,15 @@
 }
 
 std::string error_of(const json& j) {
-  std::string e;
-  return parse_job(j, e) ? "" : e;
+  const DecodedJob decoded = parse_job(j);
+  const auto* error = std::get_if<DecodeError>(&decoded);
+  return error ? error->field : "";
 }
 
 TEST(Wire, ReadsAJob) {
-  std::string e;
-  const auto s = parse_job(good(), e);
-  ASSERT_TRUE(s) << e;
+  const DecodedJob decoded = parse_job(good());
+  const auto* s = std::get_if<JobSpec>(&decoded);
+  ASSERT_TRUE(s) << error_of(good());
   EXPECT_EQ(s->shape, JobShape::gang);
   EXPECT_EQ(s->priority, Priority::urgent);
   EXPECT_EQ(s->tasks, 16u);
@@ -225,9 +226,8 @@
     EXPECT_FALSE(parse_rows({{"rows", {v}}, {"ledger", 4}})) << v;
     EXPECT_FALSE(parse_events({{"log", {v}}, {"ledger", 4}})) << v;
     EXPECT_TRUE(parse_failed(v).empty());
-    bool more = false;
-    EXPECT_FALSE(parse_machines(v, more));
-    EXPECT_FALSE(parse_hired(v));
+    EXPECT_FALSE(parse_machines(v));
+    EXPECT_FALSE(parse_rented(v));
   }
 }
 
@@ -311,6 +311,8 @@
   EXPECT_EQ(range_path("rd/", "", 100), "/keys?under=rd/&most=100");
   EXPECT_EQ(range_path("rd/", "rd/j/?", 100), "/keys?under=rd/&most=100&after=rd/j/%3F");
   EXPECT_EQ(watch_path("rd/", 7, 200), "/watch?under=rd/&after=7&hold_ms=200");
+  EXPECT_EQ(lease_path(7), "/leases/7");
+  EXPECT_EQ(renewal_path(7), "/leases/7/renew");
 }
 
 // Every field of a job lands where it belongs.
@@ -318,9 +320,9 @@
   json j = good();
   j["yard"] = "a";
   j["due_s"] = 900.5;
-  std::string error;
-  const auto s = parse_job(j, error);
-  ASSERT_TRUE(s) << error;
+  const DecodedJob decoded = parse_job(j);
+  const auto* s = std::get_if<JobSpec>(&decoded);
+  ASSERT_TRUE(s) << error_of(j);
   EXPECT_EQ(s->id, "wk-000412");
   EXPECT_EQ(s->job_class, "train");
   EXPECT_EQ(s->team, "vision");
@@ -437,20 +439,20 @@
                          {{"id", 3}},
                          {{"id", "m-4"}, {"standing", "unheard_of"}}}},
                        {"truncated", true}};
-  bool more = false;
-  const auto machines = parse_machines(listed, more);
-  ASSERT_TRUE(machines);
-  EXPECT_TRUE(more);
-  ASSERT_EQ(machines->size(), 3u);
-  EXPECT_EQ(machines->at(0).state, ListedMachine::State::running);
-  EXPECT_DOUBLE_EQ(machines->at(0).age_s, 61.5);
-  EXPECT_EQ(machines->at(1).state, ListedMachine::State::failed);
-  EXPECT_EQ(machines->at(1).addr, "h:1");
-  EXPECT_EQ(machines->at(1).type, "g8");
-  EXPECT_EQ(machines->at(1).zone, "a");
-  EXPECT_TRUE(machines->at(1).spot);
-  EXPECT_EQ(machines->at(2).state, ListedMachine::State::booting);
-  EXPECT_EQ(parse_hired({{"crofts", {"m-1", 2, "", "m-3"}}}),
+  const auto page = parse_machines(listed);
+  ASSERT_TRUE(page);
+  EXPECT_TRUE(page->more);
+  const std::vector<ListedMachine>& machines = page->machines;
+  ASSERT_EQ(machines.size(), 3u);
+  EXPECT_EQ(machines.at(0).state, ListedMachine::State::running);
+  EXPECT_DOUBLE_EQ(machines.at(0).age_s, 61.5);
+  EXPECT_EQ(machines.at(1).state, ListedMachine::State::failed);
+  EXPECT_EQ(machines.at(1).addr, "h:1");
+  EXPECT_EQ(machines.at(1).type, "g8");
+  EXPECT_EQ(machines.at(1).zone, "a");
+  EXPECT_TRUE(machines.at(1).spot);
+  EXPECT_EQ(machines.at(2).state, ListedMachine::State::booting);
+  EXPECT_EQ(parse_rented({{"crofts", {"m-1", 2, "", "m-3"}}}),
             (std::vector<std::string>{"m-1", "m-3"}));
 }
 
