--- /dev/null
+++ b/src/config/number_settings.h
@@ -0,0 +1,66 @@
+#pragma once
+// Settings that are numbers: their names in the files, what they set, and their limits. The tables
+// in settings_file.cpp and ini_file.cpp are made of these; nothing else knows a setting's name.
+
+#include <cstddef>
+#include <type_traits>
+#include <variant>
+
+#include "config/config.h"
+#include "model/settings.h"
+
+namespace rookdyke {
+
+// Both ends belong to it.
+struct Range {
+  double min = 0;
+  double max = 0;
+
+  bool contains(double value) const { return value >= min && value <= max; }
+};
+
+// The member that a setting sets.
+using NumberTarget =
+    std::variant<double Config::*, int Config::*, size_t Config::*, double Settings::*,
+                 size_t Settings::*, double Tuning::*, int Tuning::*>;
+
+struct NumberSetting {
+  const char* key;
+  NumberTarget target;
+  Range range;
+};
+
+// Whether the target holds whole numbers only.
+inline bool is_whole(const NumberTarget& target) {
+  return std::visit(
+      []<class Part, class Number>(Number Part::*) { return std::is_integral_v<Number>; }, target);
+}
+
+// Sets the target; one that holds whole numbers only gets the value's whole part.
+class NumberAssignment {
+ public:
+  NumberAssignment(Config& config, double value) : config_(config), value_(value) {}
+
+  template <class Number>
+  void operator()(Number Config::*member) const {
+    config_.*member = static_cast<Number>(value_);
+  }
+  template <class Number>
+  void operator()(Number Settings::*member) const {
+    config_.scheduler.*member = static_cast<Number>(value_);
+  }
+  template <class Number>
+  void operator()(Number Tuning::*member) const {
+    config_.scheduler.tuning.*member = static_cast<Number>(value_);
+  }
+
+ private:
+  Config& config_;
+  double value_;
+};
+
+inline void assign(Config& config, const NumberTarget& target, double value) {
+  std::visit(NumberAssignment(config, value), target);
+}
+
+}  // namespace rookdyke
