--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -2,85 +2,103 @@
 
 #include <spdlog/spdlog.h>
 
+#include <chrono>
+#include <iterator>
+#include <utility>
+
+#include "net/http_status.h"
 #include "wire/wire.h"
 
 namespace rookdyke::cloud {
 
 using nlohmann::json;
 
+namespace {
+
+constexpr std::chrono::seconds kConnectTimeout(1);
+constexpr std::chrono::seconds kReadTimeout(3);
+constexpr std::chrono::seconds kWriteTimeout(1);
+constexpr double kMaxWaitS = 3.0;         // for the rate limit
+constexpr double kRefusalPenaltyS = 0.5;  // all requests wait so long after a 429
+constexpr int kListPageSize = 500;
+
+}  // namespace
+
 Client::Client(const Endpoint& at, net::RateLimiter& limiter)
     : http_(at.host, at.port), limiter_(limiter) {
   http_.set_keep_alive(true);
   http_.set_tcp_nodelay(true);
   http_.set_url_encode(false);
-  http_.set_connection_timeout(1, 0);
-  http_.set_read_timeout(3, 0);
-  http_.set_write_timeout(1, 0);
+  http_.set_connection_timeout(kConnectTimeout);
+  http_.set_read_timeout(kReadTimeout);
+  http_.set_write_timeout(kWriteTimeout);
 }
 
-Client::Answer Client::call(bool post, const std::string& path, const json* body,
+Client::Answer Client::call(Method method, const std::string& path, const json& body,
                             const MaySend& may_send) {
-  Answer a;
-  if (!limiter_.take(1, 3.0) || (may_send && !may_send())) return a;
-  static const std::string type = "application/msgpack";
-  httplib::Result r =
-      post ? http_.Post(path, body ? wire::pack(*body) : std::string(), type) : http_.Get(path);
-  if (!r) {
-    a.sent =
-        r.error() != httplib::Error::Connection && r.error() != httplib::Error::ConnectionTimeout;
-    spdlog::debug("cloud: {}: {}", path, httplib::to_string(r.error()));
-    return a;
+  Answer answer;
+  if (!limiter_.take(1, kMaxWaitS) || (may_send && !may_send())) return answer;
+  const httplib::Result result =
+      method == Method::post ? http_.Post(path, wire::pack(body), std::string(wire::kContentType))
+                             : http_.Get(path);
+  if (!result) {
+    // Without a connection nothing was sent; after any other error it may have been executed.
+    answer.may_have_executed = result.error() != httplib::Error::Connection &&
+                               result.error() != httplib::Error::ConnectionTimeout;
+    spdlog::debug("cloud: {}: {}", path, httplib::to_string(result.error()));
+    return answer;
   }
-  a.status = r->status;
-  a.sent = true;
-  if (!r->body.empty())
-    if (auto j = wire::unpack(r->body)) a.body = std::move(*j);
-  if (a.status == 429) limiter_.penalty(0.5);
-  if (a.status != 200) spdlog::debug("cloud: {}: {}", path, a.status);
-  return a;
+  answer.status = result->status;
+  answer.may_have_executed = true;
+  if (!result->body.empty())
+    if (auto message = wire::unpack(result->body)) answer.body = std::move(*message);
+  if (answer.status == http_status::kTooManyRequests) limiter_.penalty(kRefusalPenaltyS);
+  if (answer.status != http_status::kOk) spdlog::debug("cloud: {}: {}", path, answer.status);
+  return answer;
 }
 
 std::optional<std::vector<MachineType>> Client::types() {
-  const Answer a = call(false, wire::kMachineTypesPath, nullptr);
-  if (a.status != 200) return std::nullopt;
-  return wire::parse_types(a.body);
+  const Answer answer = call(Method::get, wire::kMachineTypesPath);
+  if (answer.status != http_status::kOk) return std::nullopt;
+  return wire::parse_types(answer.body);
 }
 
-Client::RentalResult Client::rent(const RentalRequest& h, const MaySend& may_send) {
-  RentalResult out;
-  const json body = wire::rent(h);
-  const Answer a = call(true, wire::kMachinesPath, &body, may_send);
-  if (a.status == 200) {
-    if (auto names = wire::parse_rented(a.body)) {
-      out.outcome = CloudOutcome::done;
-      out.machines = std::move(*names);
+Client::RentalResult Client::rent(const RentalRequest& request, const MaySend& may_send) {
+  RentalResult result;
+  const Answer answer = call(Method::post, wire::kMachinesPath, wire::rent(request), may_send);
+  if (answer.status == http_status::kOk) {
+    if (auto names = wire::parse_rented(answer.body)) {
+      result.outcome = CloudOutcome::done;
+      result.machines = std::move(*names);
     }
-  } else if (a.status == 503) {
-    out.outcome = wire::is_no_capacity(a.body) ? CloudOutcome::no_capacity : CloudOutcome::refused;
-  } else if (a.status == 400) {
-    spdlog::error("cloud: hire {} was malformed", h.name);
-    out.outcome = CloudOutcome::no_capacity;
-  } else if (a.status != 0 || !a.sent) {
-    out.outcome = CloudOutcome::refused;
+  } else if (answer.status == http_status::kUnavailable) {
+    result.outcome =
+        wire::is_no_capacity(answer.body) ? CloudOutcome::no_capacity : CloudOutcome::refused;
+  } else if (answer.status == http_status::kBadRequest) {
+    spdlog::error("cloud: rental request {} was malformed", request.name);
+    result.outcome = CloudOutcome::no_capacity;
+  } else if (answer.status != http_status::kNone || !answer.may_have_executed) {
+    result.outcome = CloudOutcome::refused;
   }
-  return out;
+  return result;
 }
 
 CloudOutcome Client::return_machines(const std::vector<std::string>& names,
                                      const MaySend& may_send) {
-  const json body = wire::return_machines(names);
-  const Answer a = call(true, wire::kReturnPath, &body, may_send);
-  if (a.status == 200) return CloudOutcome::done;
-  return a.status != 0 || !a.sent ? CloudOutcome::refused : CloudOutcome::unknown;
+  const Answer answer =
+      call(Method::post, wire::kReturnPath, wire::return_machines(names), may_send);
+  if (answer.status == http_status::kOk) return CloudOutcome::done;
+  const bool not_executed = answer.status != http_status::kNone || !answer.may_have_executed;
+  return not_executed ? CloudOutcome::refused : CloudOutcome::unknown;
 }
 
 std::optional<std::vector<ListedMachine>> Client::list() {
   std::vector<ListedMachine> all;
   std::string after;
   while (true) {
-    const Answer a = call(false, wire::list_path(after, 500), nullptr);
-    if (a.status != 200) return std::nullopt;
-    auto page = wire::parse_machines(a.body);
+    const Answer answer = call(Method::get, wire::list_path(after, kListPageSize));
+    if (answer.status != http_status::kOk) return std::nullopt;
+    auto page = wire::parse_machines(answer.body);
     if (!page) return std::nullopt;
     std::vector<ListedMachine>& machines = page->machines;
     if (machines.empty()) return all;
--- a/src/ledger/rows.cpp
+++ b/src/ledger/rows.cpp
@@ -203,6 +203,11 @@
   return out;
 }
 
+bool is_written_by(const json& value, const std::string& transaction_id) {
+  const auto id = value.is_object() ? value.find("w") : value.end();
+  return id != value.end() && *id == transaction_id;
+}
+
 size_t value_size(const json& value) {
   return value.dump(-1, ' ', false, json::error_handler_t::replace).size();
 }
--- a/src/ledger/rows.h
+++ b/src/ledger/rows.h
@@ -118,6 +118,8 @@
 
 json encode(const JobRow& row);
 json encode(const Page& page);
+// Whether a row's value was written by that transaction.
+bool is_written_by(const json& value, const std::string& transaction_id);
 // The bytes that a value takes, as the state service counts them.
 size_t value_size(const json& value);
 // Leaves out of a cancelled job's description what limits and zones do not need, if the row would
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -3,8 +3,10 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <chrono>
+#include <utility>
 
-#include "net/steady_clock.h"
+#include "net/http_status.h"
 
 namespace rookdyke::state {
 
@@ -12,185 +14,189 @@
 using nlohmann::json;
 
 namespace {
-// Siblings say every second that they see the limit lowered; it holds here as long as they do.
-constexpr double kSiblingFresh = 3;
-}  // namespace
-
-void RateLimiters::on_write_refused() {
-  std::lock_guard lock(mutex_);
-  write_limit_.on_refused(steady_now());
-  update_locked(steady_now());
-}
-
-void RateLimiters::on_sibling_refused() {
-  std::lock_guard lock(mutex_);
-  sibling_refused_at_ = steady_now();
-  update_locked(steady_now());
-}
-
-bool RateLimiters::sees_lowered_write_rate() {
-  std::lock_guard lock(mutex_);
-  return write_limit_.is_lowered(steady_now());
-}
 
-double RateLimiters::update_write_rate() {
-  std::lock_guard lock(mutex_);
-  return update_locked(steady_now());
-}
+constexpr std::chrono::milliseconds kConnectTimeout(700);
+constexpr std::chrono::seconds kWriteTimeout(1);
+// How long reads and the end of a lease wait for the rate limits.
+constexpr double kReadMaxWaitS = 1.0;
+constexpr double kDropMaxWaitS = 0.5;
+// How long all requests are held back after one was refused for its rate.
+constexpr double kRefusalPenaltyS = 0.2;
 
-double RateLimiters::update_locked(double now) {
-  const bool lowered = write_limit_.is_lowered(now) || now - sibling_refused_at_ < kSiblingFresh;
-  const double is = lowered ? std::min(write_rps_, next_write_rps_) : write_rps_;
-  if (is != current_write_rps_) {
-    writes.set_total(is);
-    current_write_rps_ = is;
-    spdlog::info("state: {} changes a second from now on", is);
-  }
-  return is;
-}
+}  // namespace
 
 Client::Client(const Endpoint& at, RateLimiters& limiters, double read_timeout_s)
     : http_(at.host, at.port), limiters_(limiters) {
   http_.set_keep_alive(true);
   http_.set_tcp_nodelay(true);
   http_.set_url_encode(false);
-  http_.set_connection_timeout(0, 700'000);
+  http_.set_connection_timeout(kConnectTimeout);
   http_.set_read_timeout(std::chrono::milliseconds(static_cast<int>(read_timeout_s * 1000)));
-  http_.set_write_timeout(1, 0);
+  http_.set_write_timeout(kWriteTimeout);
 }
 
-Client::Answer Client::call(const char* method, const std::string& path, const json* body,
-                            double writes, double max_wait_s) {
-  Answer a;
-  if (!limiters_.requests.take(1, max_wait_s)) return a;
-  if (writes > 0 && !limiters_.writes.take(writes, max_wait_s)) return a;
-  return send(method, path, body, writes > 0);
+// ---------------------------------------------------------------- requests
+
+Client::Answer Client::call(const Request& request, double max_wait_s) {
+  if (!limiters_.requests.take(1, max_wait_s)) return {};
+  if (request.changes > 0 && !limiters_.writes.take(request.changes, max_wait_s)) return {};
+  return send(request);
 }
 
-Client::Answer Client::call_first(const char* method, const std::string& path, const json* body) {
+Client::Answer Client::call_without_waiting(const Request& request) {
   limiters_.requests.take_first(1);
-  return send(method, path, body, false);
-}
-
-Client::Answer Client::send(const char* method, const std::string& path, const json* body,
-                            bool writes) {
-  Answer a;
-  static const std::string type = "application/msgpack";
-  const std::string payload = body ? wire::pack(*body) : std::string();
-  const std::string_view verb = method;
-  httplib::Result r = verb == "GET"      ? http_.Get(path)
-                      : verb == "DELETE" ? http_.Delete(path)
-                                         : http_.Post(path, payload, type);
-  if (!r) {
-    // Without a connection nothing was sent; anything else leaves it open.
-    a.sent =
-        r.error() != httplib::Error::Connection && r.error() != httplib::Error::ConnectionTimeout;
-    spdlog::debug("state: {} {}: {}", method, path, httplib::to_string(r.error()));
-    return a;
+  return send(request);
+}
+
+const char* Client::name(Method method) {
+  switch (method) {
+    case Method::get:
+      return "GET";
+    case Method::post:
+      return "POST";
+    case Method::remove:
+      return "DELETE";
   }
-  a.status = r->status;
-  a.sent = true;
-  if (!r->body.empty())
-    if (auto j = wire::unpack(r->body)) a.body = std::move(*j);
-  if (a.status == 429) {
-    limiters_.requests.penalty(0.2);
-    if (writes) {
-      limiters_.on_write_refused();
-      limiters_.writes.penalty(0.2);
-    }
-    spdlog::warn("state: {} {}: over the rate limit", method, path);
-  } else if (a.status != 200 && a.status != 409 && a.status != 404) {
-    spdlog::debug("state: {} {}: {}", method, path, a.status);
+  return "";
+}
+
+httplib::Result Client::send_http(const Request& request) {
+  if (request.method == Method::get) return http_.Get(request.path);
+  if (request.method == Method::remove) return http_.Delete(request.path);
+  return http_.Post(request.path, request.body ? wire::pack(*request.body) : std::string(),
+                    std::string(wire::kContentType));
+}
+
+Client::Answer Client::send(const Request& request) {
+  Answer answer;
+  const httplib::Result result = send_http(request);
+  if (!result) {
+    // Without a connection nothing was sent; after any other error it may have been executed.
+    answer.may_have_executed = result.error() != httplib::Error::Connection &&
+                               result.error() != httplib::Error::ConnectionTimeout;
+    spdlog::debug("state: {} {}: {}", name(request.method), request.path,
+                  httplib::to_string(result.error()));
+    return answer;
   }
-  return a;
-}
-
-ledger::Result Client::commit(const ledger::Transaction& t, double max_wait_s) {
-  ledger::Result out;
-  const json body = wire::transaction(t);
-  const Answer a = call("POST", wire::kTransactionPath, &body,
-                        static_cast<double>(t.changes.size()), max_wait_s);
-  if (a.status == 200) {
-    const auto rev = wire::parse_revision(a.body);
-    out.outcome = rev ? Outcome::applied : Outcome::unknown;
-    out.revision = rev.value_or(0);
-  } else if (a.status == 409) {
-    out.outcome = Outcome::conflict;
-    out.failed = wire::parse_failed(a.body);
-  } else if (a.status == 400) {
-    out.outcome = Outcome::rejected;
+  answer.status = result->status;
+  answer.may_have_executed = true;
+  if (!result->body.empty())
+    if (auto body = wire::unpack(result->body)) answer.body = std::move(*body);
+  if (answer.status == http_status::kTooManyRequests) {
+    on_too_many_requests(request);
+  } else if (answer.status != http_status::kOk && answer.status != http_status::kConflict &&
+             answer.status != http_status::kNotFound) {
+    spdlog::debug("state: {} {}: {}", name(request.method), request.path, answer.status);
+  }
+  return answer;
+}
+
+void Client::on_too_many_requests(const Request& request) {
+  limiters_.requests.penalty(kRefusalPenaltyS);
+  if (request.changes > 0) {
+    limiters_.on_write_refused();
+    limiters_.writes.penalty(kRefusalPenaltyS);
+  }
+  spdlog::warn("state: {} {}: over the rate limit", name(request.method), request.path);
+}
+
+// ---------------------------------------------------------------- transactions
+
+ledger::Result Client::commit_result(const Answer& answer) {
+  ledger::Result result;
+  if (answer.status == http_status::kOk) {
+    const auto revision = wire::parse_revision(answer.body);
+    result.outcome = revision ? Outcome::applied : Outcome::unknown;
+    result.revision = revision.value_or(0);
+  } else if (answer.status == http_status::kConflict) {
+    result.outcome = Outcome::conflict;
+    result.failed = wire::parse_failed(answer.body);
+  } else if (answer.status == http_status::kBadRequest) {
+    result.outcome = Outcome::rejected;
     spdlog::warn("state: a transaction is too large or malformed, or its lease is over");
-  } else if (a.status != 0 || !a.sent) {
-    out.outcome = Outcome::refused;  // 503, 429, or nothing was sent
+  } else if (answer.status != http_status::kNone || !answer.may_have_executed) {
+    result.outcome = Outcome::refused;  // 503, 429, or nothing was sent
   }
-  return out;
-}
-
-ledger::Result Client::commit_repeated(const ledger::Transaction& t, double max_wait_s) {
-  ledger::Result r = commit(t, max_wait_s);
-  if (r.outcome != Outcome::conflict) return r;
-  for (const ledger::Change& c : t.changes) {
-    if (c.erase) continue;
-    const Read got = get(c.key, max_wait_s);
-    if (!got.ok) {
-      r.outcome = Outcome::unknown;
-    } else if (got.row && got.row->value.is_object() && got.row->value.contains("w") &&
-               got.row->value["w"] == t.transaction_id) {
-      r.outcome = Outcome::applied;
-      r.revision = got.row->version;
-    }
-    break;
+  return result;
+}
+
+ledger::Result Client::commit(const ledger::Transaction& transaction, double max_wait_s) {
+  return commit_result(call({Method::post, wire::kTransactionPath, wire::transaction(transaction),
+                             static_cast<double>(transaction.changes.size())},
+                            max_wait_s));
+}
+
+ledger::Result Client::commit_repeated(const ledger::Transaction& transaction, double max_wait_s) {
+  ledger::Result result = commit(transaction, max_wait_s);
+  if (result.outcome != Outcome::conflict) return result;
+  const auto written = std::find_if(transaction.changes.begin(), transaction.changes.end(),
+                                    [](const ledger::Change& change) { return !change.erase; });
+  if (written == transaction.changes.end()) return result;
+  const Read read = get(written->key, max_wait_s);
+  if (!read.ok) {
+    result.outcome = Outcome::unknown;
+  } else if (read.row && ledger::is_written_by(read.row->value, transaction.transaction_id)) {
+    result.outcome = Outcome::applied;
+    result.revision = read.row->version;
   }
-  return r;
+  return result;
 }
 
+// ---------------------------------------------------------------- reads
+
 Client::Read Client::get(const std::string& key, double max_wait_s) {
-  Read out;
-  const Answer a = call("GET", wire::key_path(key), nullptr, 0, max_wait_s);
-  if (a.status == 200) out.row = wire::parse_row(a.body);
-  out.ok = (a.status == 200 && out.row) || a.status == 404;
-  return out;
+  const Answer answer = call({Method::get, wire::key_path(key), {}, 0}, max_wait_s);
+  Read read;
+  if (answer.status == http_status::kOk) read.row = wire::parse_row(answer.body);
+  read.ok = read.row || answer.status == http_status::kNotFound;
+  return read;
 }
 
 std::optional<wire::Rows> Client::range(const std::string& prefix, const std::string& after,
-                                        int most) {
-  const Answer a = call("GET", wire::range_path(prefix, after, most), nullptr, 0, 1.0);
-  if (a.status != 200) return std::nullopt;
-  auto rows = wire::parse_rows(a.body);
-  // Read on from its last row, an answer that does not go on would be asked for without end.
+                                        int max_count) {
+  const Answer answer =
+      call({Method::get, wire::range_path(prefix, after, max_count), {}, 0}, kReadMaxWaitS);
+  if (answer.status != http_status::kOk) return std::nullopt;
+  auto rows = wire::parse_rows(answer.body);
+  // The caller goes on from the last row: an answer that does not go on would never end.
   if (rows && !rows->rows.empty() && rows->rows.back().key <= after) return std::nullopt;
   return rows;
 }
 
 Client::Watch Client::watch(const std::string& prefix, uint64_t after, int hold_ms) {
-  Watch out;
-  const Answer a = call("GET", wire::watch_path(prefix, after, hold_ms), nullptr, 0, 1.0);
-  if (a.status == 410) {
-    out.kind = Watch::Kind::too_old;
-  } else if (a.status == 200) {
-    if (auto rows = wire::parse_events(a.body)) {
-      out.kind = Watch::Kind::events;
-      out.rows = std::move(*rows);
+  const Answer answer =
+      call({Method::get, wire::watch_path(prefix, after, hold_ms), {}, 0}, kReadMaxWaitS);
+  Watch watch;
+  if (answer.status == http_status::kGone) {
+    watch.kind = Watch::Kind::too_old;
+  } else if (answer.status == http_status::kOk) {
+    if (auto rows = wire::parse_events(answer.body)) {
+      watch.kind = Watch::Kind::events;
+      watch.rows = std::move(*rows);
     }
   }
-  return out;
+  return watch;
 }
 
+// ---------------------------------------------------------------- leases
+
 std::optional<uint64_t> Client::grant(double ttl_s) {
-  const json body = wire::lease(ttl_s);
-  const Answer a = call_first("POST", wire::kLeasesPath, &body);
-  if (a.status != 200) return std::nullopt;
-  return wire::parse_lease(a.body);
+  const Answer answer =
+      call_without_waiting({Method::post, wire::kLeasesPath, wire::lease(ttl_s), 0});
+  if (answer.status != http_status::kOk) return std::nullopt;
+  return wire::parse_lease(answer.body);
 }
 
 Client::Renewal Client::renew(uint64_t lease) {
-  const json body = json::object();
-  const Answer a = call_first("POST", wire::renewal_path(lease), &body);
-  if (a.status == 200) return Renewal::kept;
-  if (a.status == 404) return Renewal::ended;
+  const Answer answer =
+      call_without_waiting({Method::post, wire::renewal_path(lease), json::object(), 0});
+  if (answer.status == http_status::kOk) return Renewal::kept;
+  if (answer.status == http_status::kNotFound) return Renewal::ended;
   return Renewal::unknown;
 }
 
-void Client::drop(uint64_t lease) { call("DELETE", wire::lease_path(lease), nullptr, 0, 0.5); }
+void Client::drop(uint64_t lease) {
+  call({Method::remove, wire::lease_path(lease), {}, 0}, kDropMaxWaitS);
+}
 
 }  // namespace rookdyke::state
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -1,93 +1,89 @@
 #pragma once
-// The state service's client. One object per thread: it keeps one connection open. Every call has
-// connect, read and write timeouts and pays from the node's budget.
+// The state service's client: transactions, reads, watches and leases over one kept-open
+// connection. For one thread at a time; the daemon's loops own one each, and the threads that serve
+// users borrow theirs from a ConnectionPool. Every call has timeouts for connecting, reading and
+// writing, and waits for this replica's share of the rate limits. No function throws.
 
 #include <httplib.h>
 
-#include <mutex>
+#include <cstdint>
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
 
 #include "config/config.h"
 #include "ledger/rows.h"
-#include "net/rate_limit.h"
-#include "net/rate_limiter.h"
+#include "state/rate_limiters.h"
 #include "wire/wire.h"
 
 namespace rookdyke::state {
 
-// What all clients of a replica may ask of the state service.
-class RateLimiters {
- public:
-  // next_write_rps: what the limit of changes a second will be from some moment on; empty: it
-  // stays.
-  RateLimiters(double rps, double write_rps, std::optional<double> next_write_rps = std::nullopt)
-      : requests(rps),
-        writes(write_rps),
-        write_rps_(write_rps),
-        next_write_rps_(next_write_rps.value_or(write_rps)) {}
-
-  // The state service refused a change for its rate.
-  void on_write_refused();
-  // The same was seen by a sibling, just now.
-  void on_sibling_refused();
-  // Whether this replica itself takes the limit of changes a second for lowered.
-  bool sees_lowered_write_rate();
-  // Follows what is known of the limit; returns it. To be called every second or so.
-  double update_write_rate();
-
-  net::RateLimiter requests, writes;
-
- private:
-  double update_locked(double now);
-
-  const double write_rps_, next_write_rps_;
-  std::mutex mutex_;
-  net::RateLimit write_limit_;
-  double sibling_refused_at_ = -1e9;
-  double current_write_rps_ = write_rps_;
-};
-
 class Client {
  public:
+  // The limiters must outlive this object.
   Client(const Endpoint& at, RateLimiters& limiters, double read_timeout_s = 1.5);
 
-  // `max_wait_s` bounds the wait for the budget only.
-  ledger::Result commit(const ledger::Transaction& t, double max_wait_s);
-  // As commit, but settles whether a repeated transaction had been executed: on a conflict its
-  // first written row is read, and carries the mark if it was.
-  ledger::Result commit_repeated(const ledger::Transaction& t, double max_wait_s);
+  // Executes a transaction. max_wait_s bounds the wait for the rate limits only.
+  ledger::Result commit(const ledger::Transaction& transaction, double max_wait_s);
+  // As commit(), for a transaction of which an earlier copy may have been executed. A conflict may
+  // come from that copy: then the first row that it writes carries the transaction's id, and the
+  // outcome is `applied`.
+  ledger::Result commit_repeated(const ledger::Transaction& transaction, double max_wait_s);
 
+  // One key.
   struct Read {
-    bool ok = false;  // answered; `row` empty: no such key
-    std::optional<wire::Row> row;
+    bool ok = false;               // it was answered
+    std::optional<wire::Row> row;  // empty: there is no such key
   };
   Read get(const std::string& key, double max_wait_s);
-  std::optional<wire::Rows> range(const std::string& prefix, const std::string& after, int most);
+  // The keys under a prefix that follow `after`, max_count at most. Empty: it failed.
+  std::optional<wire::Rows> range(const std::string& prefix, const std::string& after,
+                                  int max_count);
 
+  // The changes under a prefix after a revision.
   struct Watch {
-    enum class Kind { events, too_old, failed } kind = Kind::failed;
+    enum class Kind {
+      events,   // rows holds them
+      too_old,  // they are not kept that long any more: the ledger has to be read again
+      failed
+    } kind = Kind::failed;
     wire::Rows rows;
   };
+  // Waits up to hold_ms for the first.
   Watch watch(const std::string& prefix, uint64_t after, int hold_ms);
 
-  std::optional<uint64_t> grant(double ttl_s);
-  enum class Renewal { kept, ended, unknown };
+  // Leases. These calls go before any others that wait for the rate limits, except drop().
+  std::optional<uint64_t> grant(double ttl_s);  // empty: it failed
+  enum class Renewal {
+    kept,
+    ended,   // the lease is over
+    unknown  // it may be renewed or not
+  };
   Renewal renew(uint64_t lease);
+  // Ends a lease early, if the state service can be reached.
   void drop(uint64_t lease);
 
  private:
+  enum class Method { get, post, remove };
+  static const char* name(Method method);  // for the log
+  struct Request {
+    Method method = Method::get;
+    std::string path;
+    std::optional<nlohmann::json> body;
+    double changes = 0;  // how many it asks for
+  };
   struct Answer {
-    int status = 0;     // 0: none
-    bool sent = false;  // it may have been executed
+    int status = 0;                  // HTTP; 0: none
+    bool may_have_executed = false;  // the request reached the state service, or may have
     nlohmann::json body;
   };
-  Answer call(const char* method, const std::string& path, const nlohmann::json* body,
-              double writes, double max_wait_s);
-  // A request about a lease: it waits behind no others.
-  Answer call_first(const char* method, const std::string& path, const nlohmann::json* body);
-  Answer send(const char* method, const std::string& path, const nlohmann::json* body, bool writes);
+  Answer call(const Request& request, double max_wait_s);
+  // For requests about leases: does not wait for the rate limits.
+  Answer call_without_waiting(const Request& request);
+  Answer send(const Request& request);
+  httplib::Result send_http(const Request& request);
+  void on_too_many_requests(const Request& request);
+  static ledger::Result commit_result(const Answer& answer);
 
   httplib::Client http_;
   RateLimiters& limiters_;
--- a/src/state/connection_pool.h
+++ b/src/state/connection_pool.h
@@ -1,6 +1,6 @@
 #pragma once
 // A bounded pool of connections to the state service, shared by the threads that serve users'
-// requests. A state::Client is for one thread at a time; the pool hands each out to one borrower.
+// requests. A state::Client is for one thread at a time; the pool lends each to one borrower.
 
 #include <condition_variable>
 #include <cstddef>
@@ -9,21 +9,20 @@
 #include <vector>
 
 #include "config/config.h"
-#include "net/rate_limiter.h"
 #include "state/client.h"
 
 namespace rookdyke::state {
 
 // Opens connections as they are needed, `max_connections` at most, and keeps them for the next
-// borrower. All functions are thread-safe: the pool has a mutex of its own, under which no other is
-// taken and nothing is sent.
+// borrower. Thread-safe: the pool has a mutex of its own; while holding it, it takes no other and
+// sends nothing.
 class ConnectionPool {
  public:
-  // A connection on loan: it goes back to the pool when this object ends. Empty if none became free
-  // in time. For one thread; must not outlive its pool.
+  // A borrowed connection, returned to the pool by the destructor. Empty if none became free in
+  // time. For one thread; must not outlive its pool.
   class Connection {
    public:
-    // Waits `timeout_s` at most while all connections are on loan.
+    // Waits `timeout_s` at most while all connections are borrowed.
     Connection(ConnectionPool& pool, double timeout_s);
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
@@ -37,12 +36,12 @@
     std::unique_ptr<Client> client_;
   };
 
-  // `budgets` must outlive the pool; every connection pays from them.
+  // `limiters` must outlive the pool; all its connections share them.
   ConnectionPool(Endpoint state, RateLimiters& limiters, size_t max_connections);
 
  private:
-  // A connection that nobody uses, or a new one; at the bound it waits for one to come back. Null:
-  // none came.
+  // An idle connection, or a new one; at the limit it waits for one to be released. Null: none was
+  // in time.
   std::unique_ptr<Client> acquire(double timeout_s);
   void release(std::unique_ptr<Client> client);
 
