--- /dev/null
+++ b/src/fleet/scale_in_planner.h
@@ -0,0 +1,69 @@
+#pragma once
+// Decides which machines of a type are drained once it has had too many for the scale-in delay.
+// Owns the moment since when each type is above its target. Called by FleetPlanner once a round;
+// MachineMonitor returns the machines once they are empty.
+
+#include <compare>
+#include <map>
+#include <vector>
+
+#include "fleet/capacity.h"
+#include "fleet/demand_model.h"
+#include "fleet/machine_monitor.h"
+#include "fleet/scale_out_planner.h"
+#include "model/machine.h"
+#include "model/settings.h"
+#include "model/types.h"
+#include "placement/replica_mover.h"
+#include "scheduler/catalog.h"
+#include "scheduler/machine_table.h"
+
+namespace rookdyke {
+
+class ScaleInPlanner {
+ public:
+  // All must outlive this object.
+  ScaleInPlanner(const Settings& settings, const Catalog& catalog, const DemandModel& demand,
+                 const MachineMonitor& monitor, MachineTable& machines,
+                 const ReplicaMover& replicas)
+      : settings_(settings),
+        catalog_(catalog),
+        demand_(demand),
+        monitor_(monitor),
+        machines_(machines),
+        replicas_(replicas),
+        above_since_(catalog.types.size(), kNotAbove) {}
+
+  // How the type's capacity compares with its target in this round.
+  void record_balance(Index type, FleetBalance balance, double now);
+  // Drains some of the type's machines if the scale-in delay is over.
+  void drain_if_due(Index type, double now);
+
+ private:
+  static constexpr double kNotAbove = -1;
+
+  // Smallest first; of equal ones the lowest index.
+  struct Candidate {
+    double cost = 0;  // in shares of a machine: what draining it would disturb
+    Index machine = kNone;
+    auto operator<=>(const Candidate&) const = default;
+  };
+  void drain_surplus(Index type, double now);
+  std::vector<Candidate> candidates(Index type, double now) const;
+  struct Floors {
+    double on_demand = 0;  // in all zones
+    std::map<Index, ZoneFloor> by_zone;
+  };
+  static bool is_above_floors(const Machine& machine, Capacity& capacity, const Floors& floors);
+  bool is_draining_replicas() const;
+
+  const Settings& settings_;
+  const Catalog& catalog_;
+  const DemandModel& demand_;
+  const MachineMonitor& monitor_;
+  MachineTable& machines_;
+  const ReplicaMover& replicas_;
+  std::vector<double> above_since_;  // by type
+};
+
+}  // namespace rookdyke
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -2,7 +2,6 @@
 
 #include <spdlog/spdlog.h>
 
-#include <algorithm>
 #include <utility>
 
 namespace rookdyke {
@@ -27,14 +26,12 @@
       eligibility_(settings_, catalog_, machines_),
       replicas_(settings_, eligibility_, jobs_, machines_, lifecycle_),
       boot_tracker_(settings_, catalog_, machines_, now),
-      faults_(machines_) {
-  for (const MachineType& t : catalog_.types) {
-    const double ahead =
-        settings_.tuning.boot_window_s > 0 ? settings_.tuning.boot_window_s : t.boot_s;
-    type_state_.push_back({Forecast(settings_.tuning, ahead), 0, {}, {}, {}, -1, {}});
-  }
-  next_sample_ = now;
-}
+      faults_(machines_),
+      monitor_(settings_, catalog_, jobs_, machines_, boot_tracker_, replicas_, lifecycle_, now),
+      demand_(settings_, catalog_, jobs_, machines_, now),
+      cloud_requests_(settings_, catalog_, claim_, jobs_, machines_, lifecycle_, monitor_),
+      fleet_planner_(settings_, catalog_, demand_, monitor_, machines_, replicas_,
+                     cloud_requests_) {}
 
 const Job* Scheduler::find_job(const std::string& id) const { return jobs_.find(id); }
 
@@ -56,11 +53,8 @@
   if (claim_.is_lost()) return;
   needs_round_ = false;
   ++work_.rounds;
-  check_machines(now);
-  if (now >= next_sample_) {
-    sample_demand(now);
-    next_sample_ = std::max(next_sample_ + settings_.tuning.sample_s, now);
-  }
+  monitor_.check_machines(now);
+  demand_.sample_if_due(now);
   for (const auto& job : jobs_)
     if (job && job->is_stale() && now - job->stale_since > kStaleFor) {
       // Known to the end: a row that contradicts us and that no watch brings is read from scratch.
@@ -68,7 +62,7 @@
       return;
     }
   place(now);
-  plan_fleet(now);
+  fleet_planner_.plan(now);
 }
 
 Scheduler::Summary Scheduler::summary(double now) const {
@@ -84,9 +78,9 @@
     if (m->state == MachineState::ready) ++s.ready;
     if (m->state == MachineState::booting) ++s.booting;
     if (m->state == MachineState::draining) ++s.draining;
-    if (m->registered && now - m->last_heartbeat > silence_limit()) ++s.silent;
+    if (monitor_.is_silent(*m, now)) ++s.silent;
   }
-  for (const TypeState& t : type_state_) s.target += t.target;
+  s.target = demand_.total_target();
   return s;
 }
 
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -8,10 +8,9 @@
 // reports.cpp       what a worker's report proves, and the orders it is answered with
 // services.cpp      replicas of services: where they go, and how they move
 // placement.cpp     what runs where, preemption
-// fleet.cpp         demand, renting, draining, returning
+// fleet.cpp         the list of rented machines in the ledger
 // states.cpp        the state machines' allowed steps
 
-#include <deque>
 #include <map>
 #include <memory>
 #include <optional>
@@ -22,7 +21,10 @@
 #include <vector>
 
 #include "fleet/boot_tracker.h"
-#include "fleet/forecast.h"
+#include "fleet/cloud_requests.h"
+#include "fleet/demand_model.h"
+#include "fleet/fleet_planner.h"
+#include "fleet/machine_monitor.h"
 #include "leadership/leadership_claim.h"
 #include "ledger/ledger_cache.h"
 #include "ledger/page.h"
@@ -75,13 +77,13 @@
   bool needs_round() const { return needs_round_; }
 
   // This process stood still for so long: the machines' silence meanwhile was its own.
-  void on_process_stall(double s, double now);
+  void on_process_stall(double s, double now) { monitor_.on_process_stall(s, now); }
 
   // One round of decisions.
   void round(double now);
   // What a leader in doubt may still decide: machines that keep cancelled work go. It starts
   // nothing.
-  void release_cancelled_work(double now);
+  void release_cancelled_work(double now) { monitor_.release_cancelled_work(now); }
   // Whether reports may be answered with starts: not by a leader that may not have heard of the
   // latest cancellations.
   void allow_starts(bool allowed) { starts_allowed_ = allowed; }
@@ -92,14 +94,24 @@
   size_t unsent() const;  // rows that wait to be written
   void on_result(uint64_t id, const ledger::Result& result, double now);
 
-  std::optional<RentalRequest> next_rental_request(double now);
+  std::optional<RentalRequest> next_rental_request(double now) {
+    return cloud_requests_.next_rental_request(now);
+  }
   void on_rental_result(const RentalRequest& request, CloudOutcome outcome,
-                        const std::vector<std::string>& machines, double now);
+                        const std::vector<std::string>& machines, double now) {
+    cloud_requests_.on_rental_result(request, outcome, machines, now);
+  }
   // `cancelled_only`: those that hold work of cancelled jobs.
-  std::vector<std::string> next_return(double now, bool cancelled_only = false);
-  void on_return(const std::vector<std::string>& names, CloudOutcome outcome, double now);
+  std::vector<std::string> next_return(double now, bool cancelled_only = false) {
+    return cloud_requests_.next_return(now, cancelled_only);
+  }
+  void on_return(const std::vector<std::string>& names, CloudOutcome outcome, double now) {
+    cloud_requests_.on_return(names, outcome, now);
+  }
   // A list read from the cloud, asked for at `asked`.
-  void on_machine_list(const std::vector<ListedMachine>& list, double asked, double now);
+  void on_machine_list(const std::vector<ListedMachine>& list, double asked, double now) {
+    cloud_requests_.on_machine_list(list, asked, now);
+  }
 
   uint64_t fencing_token() const { return claim_.fencing_token(); }
   // A condition on the leader key failed, or the ledger contradicts us: stop leading.
@@ -109,7 +121,7 @@
 
   bool has_lost_leadership() const { return claim_.is_lost(); }
   // Most machines that reported to us have fallen silent: the silence is likely ours.
-  bool receives_no_heartbeats(double now) const;
+  bool receives_no_heartbeats(double now) const { return monitor_.receives_no_heartbeats(now); }
 
   size_t backlog() const;  // waiting tasks and unsent transactions, for the round's width
   struct Summary {
@@ -206,44 +218,6 @@
   bool place_service(Job& job, double now, int& budget);
 
   // -- fleet.cpp
-  // How many machines of a type a zone has, by (type, zone); those that are gone left out.
-  using MachineCounts = std::map<std::pair<Index, Index>, size_t>;
-  struct TypeState {
-    Forecast forecast;
-    double target = 0;
-
-    Resources demand, ordinary;  // ordinary: of jobs that may not use spot machines
-    // Of jobs that can run in that zone alone: bound to it, begun there, or spread over two.
-    struct Bound {
-      Resources all, ordinary;               // of jobs bound to it
-      double largest = 0, largest_dear = 0;  // in machines, of one that could go elsewhere too
-    };
-    std::map<Index, Bound> bound;  // by zone
-    double above_since = -1;
-    std::map<std::pair<Index, bool>, double> refused_until;  // (zone, spot)
-  };
-  void add_zone_demand(const Job& job, Index type, const Resources& demand,
-                       const MachineCounts& machines);
-  MachineCounts count_machines() const;
-  double machines_for(Index type, const Resources& demand) const;
-  double floor_of(Index type, const TypeState::Bound& b, bool ordinary) const;
-  bool reuse_draining(Index type, Index zone, bool ordinary);
-  bool rent(Index type, Index zone, bool spot, double count, double now);
-  void sample_demand(double now);
-  void plan_fleet(double now);
-  void plan_type(Index type, double now);
-  void drain_surplus(Index type, double now);
-  void check_machines(double now);
-  bool counts_as_capacity(const Machine& m, double now) const;
-  Index demand_type(const Job& job) const;
-  double silence_limit() const;
-  double patience() const;
-  double waits_for(const Machine& m) const;
-  double registration_limit(const Machine& m) const;
-  bool is_mass_silence(double now) const;
-  bool holds_cancelled(const Machine& m) const;
-  bool holds_overdue(const Machine& m, double now) const;
-  void drop_machine(Machine& m, double now, const char* why);
   std::optional<PendingTransaction> fleet_transaction(double now);
   void load_fleet(const LedgerCache& ledger_cache, double now);
 
@@ -263,13 +237,15 @@
   ReplicaMover replicas_;
   BootTracker boot_tracker_;
   FaultDetector faults_;
+  MachineMonitor monitor_;
+  DemandModel demand_;
+  CloudRequests cloud_requests_;
+  FleetPlanner fleet_planner_;
 
   double announce_token_at_ = 0;
   bool uses_lowered_limits_ = false;
   bool needs_round_ = false;
   bool starts_allowed_ = true;
-  bool mass_silence_ = false;
-  double mass_silence_until_ = -1;
 
   std::vector<Index> order_;  // jobs with waiting tasks, most urgent first
 
@@ -298,7 +274,7 @@
   double preempt_at_ = 0;
   Work work_;
 
-  uint64_t next_txn_ = 0, next_rental_number_ = 0;
+  uint64_t next_txn_ = 0;
   struct InFlightTransaction {
     enum class Kind : uint8_t { page, closing, fleet } kind = Kind::page;
     Index page = kNone;
@@ -310,12 +286,6 @@
   };
   std::map<uint64_t, InFlightTransaction> in_flight_transactions_;
   double closing_since_ = -1;  // the oldest of them
-
-  std::vector<TypeState> type_state_;
-  double next_sample_ = 0;
-  double rent_at_ = 0, rent_retry_at_ = 0;
-  std::deque<RentalRequest> rental_requests_;  // wanted and unanswered, oldest first
-  bool rental_in_flight_ = false;
 };
 
 }  // namespace rookdyke
