--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "sim.h"
+#include "simulation/world.h"
 
 namespace rookdyke::test {
 namespace {
@@ -300,7 +300,7 @@
   CheckerOnMachinesTest() : world(settings(), {type()}, 1, 1) {
     world.store.outage = true;  // nobody leads, so nobody stops the task or returns the machine
     world.start();
-    World::UserJob& j = world.jobs["wk-000001"];
+    UserJob& j = world.users.jobs["wk-000001"];
     j.spec = job("wk-000001");
     j.run_s = 1000;
     world.checker.submitted(0, j.spec);
@@ -309,13 +309,13 @@
     h.type = "box";
     h.zone = "a";
     h.count = 1;
-    machine = world.workers.at(world.rent(h).names.at(0)).get();
+    machine = world.cloud.workers.at(world.cloud.rent(h).names.at(0)).get();
     world.clock.run(5);
   }
   void cancelled() { world.checker.told(world.clock.now, "wk-000001", "aborted", true); }
   // As a leader's direct command.
   void order() {
-    world.call(
+    world.network.call(
         "n0", machine->name, 1,
         [this] {
           machine->direct(1, 1, {{CommandKind::start, "wk-000001", 0, 1, 0}});
@@ -392,7 +392,7 @@
   };
   std::shared_ptr<Message> send(const std::string& from, const std::string& to, double timeout) {
     auto m = std::make_shared<Message>();
-    world.call(
+    world.network.call(
         from, to, timeout, [this, m] { m->served = world.clock.now; },
         [this, m](bool ok) {
           if (ok) m->answered = world.clock.now;
@@ -408,14 +408,14 @@
 
 TEST_F(CheckerStandInsTest, LateWritesAreCarriedOutAfterNewerOnes) {
   world.store.outage = false;
-  world.late_writes = 1;
+  world.faults.late_writes = 1;
   bool answered = true;
-  world.call(
+  world.network.call(
       "users", "state", 1, [this] { world.store.commit(write("k", "old")); },
       [&](bool ok) { answered = ok; });
   world.clock.run(6.5);
   EXPECT_FALSE(answered);
-  world.late_writes = 0;
+  world.faults.late_writes = 0;
   world.store.commit(write("k", "new"));
   EXPECT_EQ(world.store.get("k")->value.at("v"), "new");
   world.clock.run(18);
@@ -424,9 +424,9 @@
 
 TEST_F(CheckerStandInsTest, OnlyTheAnswerIsLost) {
   world.store.outage = false;
-  world.lost_answers = 1;
+  world.faults.lost_answers = 1;
   bool answered = true;
-  world.call(
+  world.network.call(
       "users", "state", 1, [this] { world.store.commit(write("k", "new")); },
       [&](bool ok) { answered = ok; });
   world.clock.run(5.1);
@@ -434,16 +434,16 @@
   EXPECT_EQ(world.store.get("k")->value.at("v"), "new");
   world.clock.run(7);
   EXPECT_FALSE(answered);
-  world.lost_answers = 0;
-  EXPECT_GE(world.met["answer_lost"], 1u);
+  world.faults.lost_answers = 0;
+  EXPECT_GE(world.event_counts["answer_lost"], 1u);
 }
 
 TEST_F(CheckerStandInsTest, OneIsRefusedAndOthersAreServed) {
   world.store.outage = false;
-  world.refuse("n0", 10);
+  world.network.refuse("n0", 10);
   ledger::Outcome mine{}, other{};
   const auto commit = [&](const std::string& from, ledger::Outcome& o) {
-    world.call(
+    world.network.call(
         from, "state", 1, [this, from, &o] { o = world.store.commit(write("k", from)).outcome; },
         [](bool) {});
   };
@@ -460,8 +460,8 @@
 }
 
 TEST_F(CheckerStandInsTest, HeldCommandsOrAnswersGoOn) {
-  world.hold_commands = 1;
-  world.hold_commands_s = 8;
+  world.faults.held_commands = 1;
+  world.faults.held_commands_s = 8;
   int late_service = 0, late_answers = 0;
   std::vector<std::shared_ptr<Message>> sent;
   sent.reserve(20);
@@ -484,8 +484,9 @@
   std::string answer;
   const auto poll = [&](double stands_still) {
     answer = "none";
-    world.nodes[0]->user("poll", job("wk-000009"), [&](const std::string& a) { answer = a; });
-    world.nodes[0]->freeze(stands_still);
+    world.controllers[0]->on_user_request(UserRequest::poll, job("wk-000009"),
+                                          [&](const std::string& a) { answer = a; });
+    world.controllers[0]->freeze(stands_still);
     world.clock.run(world.clock.now + 8);
   };
   poll(1);
@@ -496,29 +497,29 @@
 
 TEST_F(CheckerStandInsTest, UsersAskAllNodesAtOnce) {
   world.store.outage = false;
-  world.close_looks_until = 60;
+  world.users.concurrent_requests_until = 60;
   JobSpec s = job("wk-000003");
-  world.submit(s, 5, false);
+  world.users.submit(s, 5, false);
   world.clock.run(60);
-  EXPECT_GE(world.met["close_looks"], 2u) << "once accepted, and at the end";
+  EXPECT_GE(world.event_counts["close_looks"], 2u) << "once accepted, and at the end";
   EXPECT_TRUE(world.checker.broken().empty());
 }
 
 // A copy that was kept arrives at the nodes once one of them begins to lead, and not again.
 TEST_F(CheckerStandInsTest, KeptReportsMeetTheNextLeader) {
-  world.keep_copies = 1;
+  world.faults.kept_heartbeats = 1;
   world.clock.run(12);
-  EXPECT_EQ(world.met["old_report_as_leader_begins"], 0u) << "nobody leads";
+  EXPECT_EQ(world.event_counts["old_report_as_leader_begins"], 0u) << "nobody leads";
   world.store.outage = false;
   world.clock.run(20);
-  const size_t met = world.met["old_report_as_leader_begins"];
+  const size_t met = world.event_counts["old_report_as_leader_begins"];
   EXPECT_GE(met, 1u);
   world.clock.run(40);
-  EXPECT_EQ(world.met["old_report_as_leader_begins"], met);
+  EXPECT_EQ(world.event_counts["old_report_as_leader_begins"], met);
 }
 
 TEST_F(CheckerStandInsTest, TheStateServiceAnswersSlowly) {
-  world.slow_state_s = 4;
+  world.faults.slow_state_s = 4;
   double latest = 0;
   std::vector<std::shared_ptr<Message>> sent;
   sent.reserve(20);
@@ -539,7 +540,7 @@
 }
 
 TEST_F(CheckerStandInsTest, ACutZoneHearsItselfAlone) {
-  world.cut_zone("a", 10, false);
+  world.network.cut_zone("a", 10, false);
   const auto inside = send("n0", machine->name, 1), state = send("n0", "state", 1),
              users = send("users", "n0", 1), outside = send("users", "state", 1);
   world.clock.run(7);
@@ -555,24 +556,24 @@
 
 // With nobody to answer, what users cancel is only asked for; that is what is looked at here.
 TEST_F(CheckerStandInsTest, UsersCancelWhatHasLongestToGo) {
-  World::UserJob& shorter = world.jobs["wk-000002"];
+  UserJob& shorter = world.users.jobs["wk-000002"];
   shorter.spec = job("wk-000002");
   shorter.run_s = 50;
   world.checker.submitted(0, shorter.spec);
   order();
   machine->direct(1, 1, {{CommandKind::start, "wk-000002", 0, 2, 0}});
   world.clock.run(6);
-  world.cancel_now(1, 5);
+  world.users.cancel_longest_running(1, 5);
   EXPECT_TRUE(machine->hung);
   world.clock.run(6.3);
-  EXPECT_TRUE(world.jobs["wk-000001"].abort_asked);
-  EXPECT_FALSE(world.jobs["wk-000002"].abort_asked);
+  EXPECT_TRUE(world.users.jobs["wk-000001"].abort_asked);
+  EXPECT_FALSE(world.users.jobs["wk-000002"].abort_asked);
 }
 
 TEST_F(CheckerStandInsTest, UsersCancelAtTheLastTasksEnd) {
-  World::UserJob& j = world.jobs["wk-000001"];
+  UserJob& j = world.users.jobs["wk-000001"];
   j.run_s = 2;
-  world.cancel_at_end = 1;
+  world.faults.cancel_at_end = 1;
   order();
   world.clock.run(9);
   EXPECT_EQ(j.done.size(), 1u);
@@ -587,11 +588,11 @@
   world.store.outage = false;
   JobSpec s = job("wk-000003");
   s.tasks = 1;
-  world.submit(s, 5, false);
-  world.odd_requests(60);
+  world.users.submit(s, 5, false);
+  world.users.send_unexpected_requests(60);
   world.clock.run(70);
-  EXPECT_EQ(world.jobs["wk-000003"].told, "done");
-  EXPECT_TRUE(world.jobs["wk-000003"].abort_asked) << "they cancel what is done";
+  EXPECT_EQ(world.users.jobs["wk-000003"].told, "done");
+  EXPECT_TRUE(world.users.jobs["wk-000003"].abort_asked) << "they cancel what is done";
   EXPECT_TRUE(world.checker.broken().empty());
 }
 
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -23,7 +23,7 @@
 
 #include "daemon/controller.h"
 #include "net/server.h"
-#include "sim.h"
+#include "simulation/state_service.h"
 #include "wire/wire.h"
 
 namespace rookdyke::test {
--- a/tests/run_scenario.cpp
+++ b/tests/run_scenario.cpp
@@ -86,7 +86,7 @@
 #include <iostream>
 #include <sstream>
 
-#include "sim.h"
+#include "simulation/world.h"
 
 namespace rookdyke::test {
 namespace {
@@ -139,15 +139,15 @@
         if (std::find(settings_.zones.begin(), settings_.zones.end(), z) == settings_.zones.end())
           settings_.zones.push_back(z);
     world_ = std::make_unique<World>(settings_, types_, nodes_, seed_);
-    for (const auto& [k, n] : capacity_) world_->capacity[k] = n;
-    world_->lose = lose_;
-    world_->repeat = repeat_;
-    world_->slow = slow_;
-    world_->never_boots = never_boots_;
-    world_->slow_boots = slow_boots_;
-    world_->late_copies = late_copies_;
-    world_->late_copies_s = late_copies_s_;
-    world_->late_writes = late_writes_;
+    for (const auto& [k, n] : capacity_) world_->cloud.capacity[k] = n;
+    world_->faults.message_loss = lose_;
+    world_->faults.message_duplication = repeat_;
+    world_->faults.message_delay = slow_;
+    world_->faults.never_boots = never_boots_;
+    world_->faults.slow_boots = slow_boots_;
+    world_->faults.late_heartbeats = late_copies_;
+    world_->faults.late_heartbeats_s = late_copies_s_;
+    world_->faults.late_writes = late_writes_;
     std::vector<std::pair<int, Words>> expects;
     double until = 0;
     for (; i < script_.lines.size(); ++i) {
@@ -179,15 +179,16 @@
  private:
   // Whether a line's `leader` or number means that node.
   static bool means(World& world, const std::string& who, size_t i) {
-    return who == "leader" ? world.nodes[i].get() == world.leader() : who == std::to_string(i);
+    return who == "leader" ? world.controllers[i].get() == world.leader()
+                           : who == std::to_string(i);
   }
 
   static bool counts_machines(const std::string& what) {
     return what == "machines" || what == "hires" || what == "returns";
   }
   size_t machine_count(const std::string& what) const {
-    if (what == "machines") return world_->machines_up();
-    return what == "hires" ? world_->rentals : world_->returns;
+    if (what == "machines") return world_->cloud.machine_count();
+    return what == "hires" ? world_->cloud.rentals : world_->cloud.returns;
   }
 
   static double by(const Words& w, int line) {
@@ -331,11 +332,12 @@
       return other;
     };
     // One of the world's chances or times is changed for a while.
-    auto for_a_while = [&](double World::*what, double value) {
+    auto for_a_while = [&](double Faults::*what, double value) {
       const double s = option("for", 10);
       world->clock.at(t, [world, what, value, s] {
-        world->clock.after(s, [world, what, was = world->*what] { world->*what = was; });
-        world->*what = value;
+        world->clock.after(s,
+                           [world, what, was = world->faults.*what] { world->faults.*what = was; });
+        world->faults.*what = value;
       });
     };
     auto flag = [&](const std::string& name) {
@@ -402,13 +404,14 @@
           cancelled_s = number(w, i + 2, line);
         }
       world->clock.at(t, [world, s, run_s, faulty, cancelled, cancelled_s] {
-        world->submit(s, run_s, faulty);
+        world->users.submit(s, run_s, faulty);
         if (cancelled > 0 && world->chance() < cancelled)
-          world->clock.after(cancelled_s * world->chance(), [world, s] { world->abort(s.id); });
+          world->clock.after(cancelled_s * world->chance(),
+                             [world, s] { world->users.abort(s.id); });
       });
     } else if (what == "abort") {
       const std::string id = word(w, 3, line);
-      world->clock.at(t, [world, id] { world->abort(id); });
+      world->clock.at(t, [world, id] { world->users.abort(id); });
     } else if (what == "lower_limits") {
       world->clock.at(t,
                       [world] { world->store.apply_lowered_limits(*world->settings.next_limits); });
@@ -418,13 +421,13 @@
     } else if (what == "ask") {
       JobSpec s;
       s.id = word(w, 3, line);
-      world->clock.at(t, [world, s] { world->ask_all(s); });
+      world->clock.at(t, [world, s] { world->users.ask_all(s, UserRequest::poll); });
     } else if (what == "crash") {
       const std::string who = word(w, 3, line);
       const double back = option("for", 3);
       world->clock.at(t, [world, who, back] {
-        for (size_t i = 0; i < world->nodes.size(); ++i) {
-          SimController* n = world->nodes[i].get();
+        for (size_t i = 0; i < world->controllers.size(); ++i) {
+          SimController* n = world->controllers[i].get();
           if (!n->alive) continue;
           if (who != "all" && !means(*world, who, i)) continue;
           n->crash();
@@ -438,8 +441,8 @@
       const std::string who = word(w, 3, line);
       const double s = option("for", 10);
       world->clock.at(t, [world, who, s] {
-        for (size_t i = 0; i < world->nodes.size(); ++i) {
-          SimController* n = world->nodes[i].get();
+        for (size_t i = 0; i < world->controllers.size(); ++i) {
+          SimController* n = world->controllers[i].get();
           if (n->alive && means(*world, who, i)) {
             n->freeze(s);
             break;
@@ -451,18 +454,18 @@
       const double s = option("for", 10);
       const bool hold = flag("hold");
       world->clock.at(t, [world, who, from, s, hold] {
-        for (size_t i = 0; i < world->nodes.size(); ++i) {
+        for (size_t i = 0; i < world->controllers.size(); ++i) {
           if (!means(*world, who, i)) continue;
           const std::string me = "n" + std::to_string(i);
           if (from == "all") {
-            world->cut(me, "*", s, hold);
+            world->network.cut(me, "*", s, hold);
           } else if (from == "siblings") {
-            for (size_t k = 0; k < world->nodes.size(); ++k)
-              if (k != i) world->cut(me, "n" + std::to_string(k), s, hold);
+            for (size_t k = 0; k < world->controllers.size(); ++k)
+              if (k != i) world->network.cut(me, "n" + std::to_string(k), s, hold);
           } else if (from == "workers") {
-            for (auto& [name, m] : world->workers) world->cut(me, name, s, hold);
+            for (auto& [name, m] : world->cloud.workers) world->network.cut(me, name, s, hold);
           } else {
-            world->cut(me, from, s, hold);
+            world->network.cut(me, from, s, hold);
           }
           if (who == "leader") break;
         }
@@ -471,43 +474,45 @@
       const std::string who = word(w, 3, line);
       const double s = option("for", 10);
       world->clock.at(t, [world, who, s] {
-        for (size_t i = 0; i < world->nodes.size(); ++i)
+        for (size_t i = 0; i < world->controllers.size(); ++i)
           if (means(*world, who, i)) {
-            world->refuse("n" + std::to_string(i), s);
+            world->network.refuse("n" + std::to_string(i), s);
             break;
           }
       });
     } else if (what == "slow_state") {
-      for_a_while(&World::slow_state_s, number(w, 3, line));
+      for_a_while(&Faults::slow_state_s, number(w, 3, line));
     } else if (what == "late_writes") {
-      for_a_while(flag("at_once") ? &World::lost_answers : &World::late_writes, number(w, 3, line));
+      for_a_while(flag("at_once") ? &Faults::lost_answers : &Faults::late_writes,
+                  number(w, 3, line));
     } else if (what == "late_copies") {
-      for_a_while(&World::late_copies, number(w, 3, line));
-      for_a_while(&World::late_copies_s, number(w, 4, line));
+      for_a_while(&Faults::late_heartbeats, number(w, 3, line));
+      for_a_while(&Faults::late_heartbeats_s, number(w, 4, line));
     } else if (what == "keep_copies") {
-      for_a_while(&World::keep_copies, number(w, 3, line));
+      for_a_while(&Faults::kept_heartbeats, number(w, 3, line));
     } else if (what == "close_looks") {
       const double s = option("for", 10);
-      world->clock.at(t, [world, s] { world->close_looks_until = world->clock.now + s; });
+      world->clock.at(
+          t, [world, s] { world->users.concurrent_requests_until = world->clock.now + s; });
     } else if (what == "hold_commands") {
-      for_a_while(&World::hold_commands, number(w, 3, line));
-      for_a_while(&World::hold_commands_s, number(w, 4, line));
+      for_a_while(&Faults::held_commands, number(w, 3, line));
+      for_a_while(&Faults::held_commands_s, number(w, 4, line));
     } else if (what == "cancel_at_end") {
-      for_a_while(&World::cancel_at_end, number(w, 3, line));
+      for_a_while(&Faults::cancel_at_end, number(w, 3, line));
     } else if (what == "odd_requests") {
       const double s = option("for", 10);
-      world->clock.at(t, [world, s] { world->odd_requests(s); });
+      world->clock.at(t, [world, s] { world->users.send_unexpected_requests(s); });
     } else if (what == "cancel_now") {
       const auto n = static_cast<size_t>(number(w, 3, line));
       const double s = option("hang", 0);
-      world->clock.at(t, [world, n, s] { world->cancel_now(n, s); });
+      world->clock.at(t, [world, n, s] { world->users.cancel_longest_running(n, s); });
     } else if (what == "zone_cut") {
       const std::string zone = word(w, 3, line);
       if (std::find(settings_.zones.begin(), settings_.zones.end(), zone) == settings_.zones.end())
         wrong(line, "no such zone");
       const double s = option("for", 10);
       const bool hold = flag("hold");
-      world->clock.at(t, [world, zone, s, hold] { world->cut_zone(zone, s, hold); });
+      world->clock.at(t, [world, zone, s, hold] { world->network.cut_zone(zone, s, hold); });
     } else if (what == "state_outage") {
       const double s = number(w, 3, line);
       world->clock.at(t, [world, s] {
@@ -517,8 +522,8 @@
     } else if (what == "cloud_outage") {
       const double s = number(w, 3, line);
       world->clock.at(t, [world, s] {
-        world->cloud_outage = true;
-        world->clock.after(s, [world] { world->cloud_outage = false; });
+        world->cloud.outage = true;
+        world->clock.after(s, [world] { world->cloud.outage = false; });
       });
     } else if (what == "unplug") {
       auto left = static_cast<size_t>(number(w, 3, line));
@@ -528,11 +533,11 @@
       for (size_t i = 4; i < w.size(); ++i)
         if (w[i] == "in") zone = word(w, i + 1, line);
       world->clock.at(t, [world, left, s, hold, zone]() mutable {
-        for (auto& [name, m] : world->workers) {
+        for (auto& [name, m] : world->cloud.workers) {
           if (m->terminated || !m->up || (!zone.empty() && m->zone != zone)) continue;
           if (left-- == 0) break;
-          for (size_t i = 0; i < world->nodes.size(); ++i)
-            world->cut("n" + std::to_string(i), name, s, hold);
+          for (size_t i = 0; i < world->controllers.size(); ++i)
+            world->network.cut("n" + std::to_string(i), name, s, hold);
         }
       });
     } else if (what == "deafen" || what == "mute") {
@@ -543,7 +548,7 @@
         if (w[i] == "in") zone = word(w, i + 1, line);
       const auto until = what == "mute" ? &Worker::mute_until : &Worker::deaf_until;
       world->clock.at(t, [world, left, s, zone, until]() mutable {
-        for (auto& [name, m] : world->workers) {
+        for (auto& [name, m] : world->cloud.workers) {
           if (m->terminated || !m->up || (!zone.empty() && m->zone != zone)) continue;
           if (left-- == 0) break;
           m.get()->*until = world->clock.now + s;
@@ -554,7 +559,7 @@
       const double s = option("for", 10), notice = option("notice", -1);
       world->clock.at(t, [world, what, which, s, notice] {
         size_t left = which == "all" || which == "busy" ? SIZE_MAX : std::stoul(which);
-        for (auto& [name, m] : world->workers) {
+        for (auto& [name, m] : world->cloud.workers) {
           if (left == 0) break;
           Worker* p = m.get();
           if (p->terminated || !p->up || p->hung) continue;
@@ -598,7 +603,7 @@
       return;
     }
     if (what == "all_known") {
-      for (const auto& [id, j] : world_->jobs)
+      for (const auto& [id, j] : world_->users.jobs)
         if (j.told != "done" && j.told != "aborted") miss(id + " " + j.told);
       return;
     }
@@ -616,7 +621,7 @@
       return;
     }
     if (what == "met") {
-      const size_t n = world_->met[word(w, 2, line)];
+      const size_t n = world_->event_counts[word(w, 2, line)];
       if (static_cast<double>(n) < number(w, 4, line)) miss(std::to_string(n));
       return;
     }
@@ -625,9 +630,9 @@
       return;
     }
     const std::string& id = word(w, 2, line);
-    auto it = world_->jobs.find(id);
-    if (it == world_->jobs.end()) wrong(line, "no such job");
-    const World::UserJob& j = it->second;
+    auto it = world_->users.jobs.find(id);
+    if (it == world_->users.jobs.end()) wrong(line, "no such job");
+    const UserJob& j = it->second;
     if (what == "done") {
       if (j.done_at < 0 || j.done_at > by(w, line))
         miss(j.told + ", done at " + std::to_string(j.done_at));
@@ -637,7 +642,7 @@
       if (j.first_start < 0 || j.first_start > by(w, line)) miss(std::to_string(j.first_start));
     } else if (what == "served") {
       constexpr double kServedAfter = 5;
-      const double share = world_->served(id, kServedAfter);
+      const double share = world_->users.served_share(id, kServedAfter);
       if (share < number(w, 4, line)) miss(std::to_string(share));
     } else if (what == "starts") {
       const double n = number(w, 4, line);
