--- a/tests/simulation/users.h
+++ b/tests/simulation/users.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "checker.h"
+#include "checker/checker.h"
 #include "model/types.h"
 
 namespace rookdyke::test {
--- a/tests/simulation/world.h
+++ b/tests/simulation/world.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "checker.h"
+#include "checker/checker.h"
 #include "simulation/clock.h"
 #include "simulation/cloud.h"
 #include "simulation/controller.h"
