--- a/src/daemon/cancellation_gate.cpp
+++ b/src/daemon/cancellation_gate.cpp
@@ -13,12 +13,12 @@
 bool CancellationGate::wait_until_known(Lock& lock, const std::string& job, uint64_t version,
                                         uint64_t leader, double timeout_s,
                                         const std::function<bool()>& hopeless) {
-  Notification& ours = notifications_[job];
-  if (ours.waiting++ == 0) ours.tried = false;
-  ours.leader = std::max(ours.leader, leader);
+  Notification& notification = notifications_[job];
+  if (notification.waiting++ == 0) notification.tried = false;
+  notification.leader = std::max(notification.leader, leader);
   notifier_.notify_one();
   const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(timeout_s);
-  // Not told: the ledger may still bring word of how far the leader has read, if both answer.
+  // After a failed notification the ledger may still show how far the leader has read.
   changed_.wait_until(lock, until, [&] {
     return stopped_ || known_.has(job, version) || (notifications_.at(job).tried && hopeless());
   });
--- a/src/daemon/cloud_reconciler.cpp
+++ b/src/daemon/cloud_reconciler.cpp
@@ -38,39 +38,33 @@
   }
 }
 
+// A wait is over when this returns: it is made under the lock under which there was nothing to do.
 CloudReconciler::Work CloudReconciler::wait_for_work() {
   auto state = shared_.lock();
-  double longest_wait_s = 0;
-  Work work;
-  work.action = next_action(*state, steady_now(), longest_wait_s);
-  work.fencing_token = state->fencing_token();
-  if (std::holds_alternative<std::monostate>(work.action))
-    shared_.wait_for(state, shared_.wakeups().cloud, longest_wait_s);
+  Work work{.action = next_action(*state, steady_now()), .fencing_token = state->fencing_token()};
+  if (const Wait* wait = std::get_if<Wait>(&work.action))
+    shared_.wait_for(state, shared_.wakeups().cloud, wait->longest_s);
   return work;
 }
 
-// Without an action, `longest_wait_s` says when to ask again.
-CloudReconciler::Action CloudReconciler::next_action(ControllerState& state, double now,
-                                                     double& longest_wait_s) {
+CloudReconciler::Action CloudReconciler::next_action(ControllerState& state, double now) {
   const bool may_decide = state.may_decide(now);
   if ((may_decide || !state.machine_types_known()) && now >= next_types_) {
     const bool in_ledger = !state.ledger_cache().types().empty();
     return FetchTypes{.store_in_ledger = may_decide && !in_ledger};
   }
   const bool unconfirmed = !may_decide && state.is_unconfirmed_leader(now);
-  longest_wait_s = kPassiveIntervalS;
-  if (!may_decide && !unconfirmed) return std::monostate{};
+  if (!may_decide && !unconfirmed) return Wait{kPassiveIntervalS};
   Scheduler& scheduler = *state.scheduler();
   if (auto names = scheduler.next_return(now, unconfirmed); !names.empty())
     return ReturnMachines{std::move(names)};
-  if (unconfirmed) return std::monostate{};
+  if (unconfirmed) return Wait{kPassiveIntervalS};
   if (auto request = scheduler.next_rental_request(now)) return RentMachines{std::move(*request)};
   if (now >= next_list_) return ListMachines{};
-  longest_wait_s = std::clamp(next_list_ - now, kShortestIdleIntervalS, kIdleIntervalS);
-  return std::monostate{};
+  return Wait{std::clamp(next_list_ - now, kShortestIdleIntervalS, kIdleIntervalS)};
 }
 
-void CloudReconciler::perform(std::monostate /*none*/, uint64_t /*fencing_token*/) {}
+void CloudReconciler::perform(const Wait& /*action*/, uint64_t /*fencing_token*/) {}
 
 void CloudReconciler::perform(const FetchTypes& action, uint64_t fencing_token) {
   const auto types = cloud_.types();
--- a/src/daemon/cloud_reconciler.h
+++ b/src/daemon/cloud_reconciler.h
@@ -26,7 +26,10 @@
   void run();
 
  private:
-  // The next request to the cloud.
+  // What to do next: a request to the cloud, or nothing for a while.
+  struct Wait {
+    double longest_s = 0;
+  };
   struct FetchTypes {
     bool store_in_ledger = false;  // leads, and the ledger has none yet
   };
@@ -37,17 +40,16 @@
     RentalRequest request;
   };
   struct ListMachines {};
-  using Action =
-      std::variant<std::monostate, FetchTypes, ReturnMachines, RentMachines, ListMachines>;
+  using Action = std::variant<Wait, FetchTypes, ReturnMachines, RentMachines, ListMachines>;
   struct Work {
-    Action action;  // std::monostate: none, after a wait for one
-    uint64_t fencing_token = 0;
+    Action action;
+    uint64_t fencing_token = 0;  // of the term that it belongs to; 0: none
   };
 
   Work wait_for_work();
-  Action next_action(ControllerState& state, double now, double& longest_wait_s);
+  Action next_action(ControllerState& state, double now);
 
-  void perform(std::monostate none, uint64_t fencing_token);
+  void perform(const Wait& action, uint64_t fencing_token);
   void perform(const FetchTypes& action, uint64_t fencing_token);
   void perform(const ReturnMachines& action, uint64_t fencing_token);
   void perform(const RentMachines& action, uint64_t fencing_token);
--- a/src/daemon/heartbeat_endpoint.cpp
+++ b/src/daemon/heartbeat_endpoint.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <string>
+#include <utility>
 
 #include "daemon/http_reply.h"
 #include "net/steady_clock.h"
@@ -28,14 +29,13 @@
 }
 
 HeartbeatEndpoint::Answer HeartbeatEndpoint::answer(const Heartbeat& heartbeat) {
-  bool needs_round = false;
-  std::optional<Answer> commands;
+  std::optional<LeaderAnswer> commands;
   std::string leader;
   {
     auto state = shared_.lock();
     const double now = steady_now();
     if (auto refused = refusal(*state, now)) return std::move(*refused);
-    commands = lead(*state, heartbeat, now, needs_round);
+    commands = lead(*state, heartbeat, now);
     if (!commands) leader = leader_for_redirect(*state, now);
   }
   if (!commands) {
@@ -44,8 +44,8 @@
     return {http_status::kMisdirected, wire::redirect(leader)};
   }
   shared_.wakeups().transactions.notify_one();
-  if (needs_round) shared_.wakeups().scheduling.notify_one();
-  return std::move(*commands);
+  if (commands->needs_round) shared_.wakeups().scheduling.notify_one();
+  return std::move(commands->answer);
 }
 
 // A leader that may not keep its workers' leases alive: they go on to another controller.
@@ -63,9 +63,9 @@
 }
 
 // Empty: does not lead, or leads no longer.
-std::optional<HeartbeatEndpoint::Answer> HeartbeatEndpoint::lead(ControllerState& state,
-                                                                 const Heartbeat& heartbeat,
-                                                                 double now, bool& needs_round) {
+std::optional<HeartbeatEndpoint::LeaderAnswer> HeartbeatEndpoint::lead(ControllerState& state,
+                                                                       const Heartbeat& heartbeat,
+                                                                       double now) {
   Scheduler* scheduler = state.scheduler();
   if (!state.leads() || !scheduler || scheduler->has_lost_leadership()) return std::nullopt;
   const double staleness = now - state.cancellation_staleness().at();
@@ -75,8 +75,8 @@
     state.step_down(Role::follower, "a worker has seen a higher token");
     return std::nullopt;
   }
-  needs_round = scheduler->needs_round();
-  return Answer{http_status::kOk, wire::report_answer(state.fencing_token(), out.commands)};
+  Answer answer{http_status::kOk, wire::report_answer(state.fencing_token(), out.commands)};
+  return LeaderAnswer{std::move(answer), scheduler->needs_round()};
 }
 
 // The leader's label; empty: none that is worth a redirect is known.
--- a/src/daemon/heartbeat_endpoint.h
+++ b/src/daemon/heartbeat_endpoint.h
@@ -28,10 +28,15 @@
     nlohmann::json body;
   };
 
+  struct LeaderAnswer {
+    Answer answer;
+    bool needs_round = false;  // the scheduler is to look soon at what the heartbeat told
+  };
+
   Answer answer(const Heartbeat& heartbeat);
   static std::optional<Answer> refusal(ControllerState& state, double now);
-  std::optional<Answer> lead(ControllerState& state, const Heartbeat& heartbeat, double now,
-                             bool& needs_round);
+  static std::optional<LeaderAnswer> lead(ControllerState& state, const Heartbeat& heartbeat,
+                                          double now);
   std::string leader_for_redirect(const ControllerState& state, double now) const;
 
   const Config& config_;
--- a/src/daemon/mesh_endpoint.cpp
+++ b/src/daemon/mesh_endpoint.cpp
@@ -13,13 +13,13 @@
 
 void MeshEndpoint::serve(const httplib::Request& request, httplib::Response& response) {
   const bool post = request.method == "POST";
-  if (post && request.target == mesh::kCancelled) {
+  if (post && request.target == mesh::kCancelledPath) {
     const auto cancelled = mesh::decode_cancelled(request.body);
     const nlohmann::json answer = {{"token", cancelled ? on_cancelled(*cancelled) : 0}};
     response.set_content(answer.dump(), kContentType);
-  } else if (post && request.target == mesh::kView) {
+  } else if (post && request.target == mesh::kViewPath) {
     if (const auto view = mesh::decode(request.body)) peers_.on_view(*view);
-    response.set_content(mesh::text(peers_.view()), kContentType);
+    response.set_content(mesh::serialize(peers_.view()), kContentType);
   } else {
     response.status = http_status::kNotFound;
   }
--- a/src/daemon/peer_exchange.cpp
+++ b/src/daemon/peer_exchange.cpp
@@ -59,7 +59,7 @@
 
 void PeerExchange::exchange_with(mesh::Peer& peer, const nlohmann::json& image_locations) {
   mesh::View ours = view();
-  ours.images = image_locations;
+  ours.image_locations = image_locations;
   const double sent = steady_now();
   const auto theirs = peer.exchange(ours);
   if (!theirs) return;
@@ -77,7 +77,7 @@
   view.incarnation = ids_.incarnation();
   view.read_to = state->cancellation_gate().leader_read_to();
   view.state_ok = steady_now() - reachability_.state_answered_at() < kStateFreshS;
-  view.writes = state->write_share().own_demand();
+  view.write_demand = state->write_share().own_demand();
   view.rate_lowered = limiters_.sees_lowered_write_rate();
   view.sizes_lowered = state->sizes_lowered();
   view.fencing_token = state->known_token();
@@ -90,8 +90,8 @@
   const double now = steady_now();
   state->on_sibling_heard(now);
   if (view.state_ok) reachability_.on_sibling_served(now);
-  state->learn_image_locations(view.images, view.fencing_token);
-  state->write_share().record_sibling(view.label, view.writes, now);
+  state->learn_image_locations(view.image_locations, view.fencing_token);
+  state->write_share().record_sibling(view.label, view.write_demand, now);
   if (view.rate_lowered) limiters_.on_sibling_refused();
   if (view.sizes_lowered) state->lower_sizes();
   // Together with the token below: who relies on what a leader has read knows of that leader.
--- a/src/daemon/read_barrier.h
+++ b/src/daemon/read_barrier.h
@@ -1,7 +1,7 @@
 #pragma once
 // Read barriers: a caller waits until this replica's copy of the ledger shows at least all that was
-// committed before the call. One thread, the watcher, reads the ledger again and again; every read
-// that was sent after the call, and was applied, is such a proof, and answers all callers at once.
+// committed before the call. One thread, LedgerWatcher, reads the ledger repeatedly; every read
+// that was sent after the call, and was applied, proves that, and answers all callers at once.
 
 #include <atomic>
 #include <condition_variable>
@@ -11,7 +11,7 @@
 namespace rookdyke {
 
 // Pairs the callers that wait with the watcher's reads. Thread-safe: a mutex of its own guards the
-// counters; none other is taken under it, and no caller may hold one that the watcher needs.
+// counters; no other is taken under it, and no caller may hold SharedState's lock.
 class ReadBarrier {
  public:
   // -- for any thread
@@ -19,15 +19,14 @@
   // True once a read that was sent after this call is applied. False if that read fails, after
   // `timeout_s`, after `stop`, and at once while the ledger is known not to answer (`failing`).
   bool wait(double timeout_s);
-  // Whether asking the state service now is in vain as far as we know: two reads in a row failed.
-  // Lock-free.
+  // Whether the state service is known not to answer: two reads in a row failed. Lock-free.
   bool failing() const { return consecutive_failures_ >= kFailing; }
   // Ends all waits, those of the watcher too, now and later.
   void stop();
 
   // -- for the watcher alone
 
-  // Names a read that is about to be sent: it answers every call that was made before.
+  // Identifies a read that is about to be sent: it answers every call that was made before.
   using Read = uint64_t;
 
   // Returns when a caller waits that no read answers yet, after `longest_s`, and on `stop`.
--- a/src/leadership/cancellations.h
+++ b/src/leadership/cancellations.h
@@ -1,8 +1,8 @@
 #pragma once
-// What has to be so before a user may hear that a job is cancelled, and up to which moment a leader
-// knows of every cancellation that any user was told of. The invariant that both keep, with its
-// argument, is in docs/design.md, "Cancellations". Pure, like the scheduler; whoever owns them
-// locks.
+// Which cancellations may be confirmed to users, and up to which moment a leader has proof of
+// knowing every cancellation that was. The invariant that both keep, with its argument, is in
+// docs/design.md, "Cancellations". Pure: all moments are passed in, in seconds of the steady clock.
+// Not thread-safe: used under the owner's lock.
 
 #include <algorithm>
 #include <cstdint>
@@ -14,24 +14,25 @@
 
 namespace rookdyke {
 
-// Which cancellations the acting leader is known to know. A user hears "aborted" of no other: a
-// leader that the state service refuses would go on answering workers, and never stop those tasks.
+// The cancellations that the acting leader is proven to know. No other is confirmed to a user: a
+// leader that cannot read the state service would go on answering workers, and never stop those
+// tasks.
 class KnownCancellations {
  public:
-  // A leader has read the ledger up to here. What it has read, every later one has loaded.
+  // A leader has read the ledger up to this revision. What it has read, every later one has loaded.
   void read_to(uint64_t revision) {
     if (revision <= read_to_) return;
     read_to_ = revision;
     std::erase_if(acknowledged_, [this](const auto& e) { return e.second <= read_to_; });
   }
   uint64_t read_to() const { return read_to_; }
-  // Whoever held the leader key when the job's row was written, or later, has that row.
+  // The holder of the leader key at the time of the row's write, or a later one, has that row.
   void acknowledge(const std::string& job, uint64_t version) {
     if (version <= read_to_) return;
     uint64_t& known = acknowledged_[job];
     known = std::max(known, version);
   }
-  // Whether the row of a cancelled job, which bears that version, may be told.
+  // Whether the cancellation in that version of the job's row may be confirmed.
   bool has(const std::string& job, uint64_t version) const {
     if (version <= read_to_) return true;
     auto it = acknowledged_.find(job);
@@ -43,10 +44,11 @@
   std::unordered_map<std::string, uint64_t> acknowledged_;  // by job: version of its row
 };
 
-// A leader's proof that no user was told of a cancellation before some moment that it does not know
-// of. The ledger gives it; so does the lease, since nobody says "aborted" past the holder of the
-// leader key. In an outage the siblings give it, if all of them do: one that knows no token above
-// ours, and has not been restarted since an earlier proof, has told nobody without us.
+// The moment up to which a leader has proof of knowing every cancellation that was confirmed to a
+// user. A read of the ledger proves it; so does a renewed lease, since no cancellation is confirmed
+// without the holder of the leader key. In an outage the siblings prove it, if all of them do: one
+// that knows no higher token than this leader's, and was not restarted since an earlier proof, has
+// confirmed none without it.
 class CancellationStaleness {
  public:
   explicit CancellationStaleness(std::vector<std::string> siblings = {}, double now = -1e9)
@@ -59,19 +61,20 @@
     return CancellationStaleness({}, std::numeric_limits<double>::infinity());
   }
 
-  // The ledger was read, or our lease kept, by a request that was sent then.
+  // The ledger was read, or the lease renewed, by a request that was sent then.
   void proven(double sent) { proven_ = std::max(proven_, sent); }
-  // A sibling answered a request that was sent then. `incarnation` names its process, `token` is
-  // the highest that it knows, `ours` the one that we hold (0: none).
+  // A sibling answered a request that was sent then. `incarnation` names its process (empty: not
+  // told), `fencing_token` is the highest that it knows, `ours` this controller's (0: none).
   void on_sibling_answer(const std::string& sibling, const std::string& incarnation,
                          uint64_t fencing_token, uint64_t ours, double sent, double now) {
     SiblingProof& v = sibling_proofs_[sibling];
     if (incarnation.empty() || v.incarnation != incarnation)
-      v = {incarnation, now, sent};  // what its predecessor told, nobody knows any more
+      v = {incarnation, now, sent};  // nobody knows any more what its predecessor confirmed
     v.until = std::max(v.until, sent);
     v.fencing_token = fencing_token;
     if (ours > 0) advance(ours);
   }
+  // The moment up to which there is proof.
   double at() const { return proven_; }
 
  private:
@@ -98,12 +101,13 @@
   double proven_;
 };
 
-// For how long past its staleness bound a leader may keep workers' leases alive: the tasks of a job
-// cancelled behind its back are gone with their lease, within cancel_s. Steady clocks drift by
-// 0.05%; a second is for our own delays.
+// For how many seconds past that moment a leader may keep workers' leases alive: the tasks of a job
+// that was cancelled without its knowledge end with their machine's lease, within cancel_s.
 inline double staleness_limit(double cancel_s, double lease_s) {
-  constexpr double kDrift = 1.001, kDelay = 1, kLeast = 2;
-  return std::max(kLeast, cancel_s / kDrift - lease_s * kDrift - kDelay);
+  constexpr double kDrift = 1.001;  // steady clocks drift apart by up to 0.05%
+  constexpr double kDelayS = 1;     // of this process
+  constexpr double kLowestLimitS = 2;
+  return std::max(kLowestLimitS, cancel_s / kDrift - lease_s * kDrift - kDelayS);
 }
 
 }  // namespace rookdyke
--- a/src/leadership/lease_clock.h
+++ b/src/leadership/lease_clock.h
@@ -1,8 +1,9 @@
 #pragma once
-// Whether this process has stood still while its clocks ran on, and whether what it knows of its
-// lease may still be acted on. A process may stop in any line of its code for many times its lease:
-// what was read, decided or queued before it counts only once the lease has been asked for again.
-// Pure: told the time, like the scheduler.
+// Whether this process was suspended while its clocks ran on, and whether what it knows of its
+// lease may still be acted on. A process may be suspended in any line of its code for many times
+// its lease: what was read, decided or queued before that counts only once a renewal was tried
+// again. Pure: all moments are passed in, in seconds of the steady clock. Not thread-safe: used
+// under the owner's lock.
 
 #include <algorithm>
 
@@ -10,41 +11,49 @@
 
 class LeaseClock {
  public:
-  // It has stood still if nobody called this for so long; it is called several times a second.
+  // The process counts as suspended if `stall` was not called for so many seconds; it is called
+  // several times a second.
   static constexpr double kStall = 1;
-  // Steady clocks drift apart by up to 0.05%: our count of a lease's time ends early by more.
+  // Steady clocks drift apart by up to 0.05%: the lease is taken to end early by more than that.
   static constexpr double kDrift = 0.998;
 
-  explicit LeaseClock(double now = 0) : last_stall_check_(now), woke_at_(now) {}
+  explicit LeaseClock(double now = 0) : last_stall_check_(now), resumed_at_(now) {}
 
-  // For how long the process stood still before now; 0: it did not.
+  // For how many seconds the process was suspended until now; 0: it was not.
   double stall(double now) {
-    const double still = now - last_stall_check_;
+    const double unchecked_s = now - last_stall_check_;
     last_stall_check_ = std::max(last_stall_check_, now);
-    if (still < kStall) return 0;
-    woke_at_ = now;
-    return still;
+    if (unchecked_s < kStall) return 0;
+    resumed_at_ = now;
+    return unchecked_s;
   }
-  // A renewal that was sent then kept the lease.
+  // A renewal that was sent then succeeded; so did a grant that was asked for then.
   void kept(double sent) {
     kept_at_ = std::max(kept_at_, sent);
     asked(sent);
   }
-  // A renewal that was sent then came to some outcome.
+  // A renewal that was sent then had some outcome.
   void asked(double sent) {
-    if (sent > woke_at_) asked_at_ = sent;
+    if (sent > resumed_at_) asked_at_ = sent;
   }
+  // When the last successful renewal was sent.
   double kept_at() const { return kept_at_; }
-  // While the lease's time runs, nobody else leads.
+  // The lease of `ttl` seconds has not expired: nobody else leads.
   bool runs(double now, double ttl) const { return now - kept_at_ < ttl * kDrift; }
-  // After that, doubt that failed renewals made is an outage that this process lived through. Doubt
-  // that it slept through is none: others may have been elected.
+  // Whether a leader may go on answering its workers. Past the lease's expiry it may if renewals
+  // failed while the process ran: that is an outage. It may not if the process was suspended since
+  // the last renewal: another may have been elected.
   bool lease_confirmed(double now, double ttl) const {
-    return runs(now, ttl) || asked_at_ > woke_at_;
+    return runs(now, ttl) || asked_at_ > resumed_at_;
   }
 
  private:
-  double last_stall_check_, woke_at_, kept_at_ = -1e9, asked_at_ = -1e9;
+  static constexpr double kNever = -1e9;
+
+  double last_stall_check_;
+  double resumed_at_;
+  double kept_at_ = kNever;
+  double asked_at_ = kNever;  // not before resumed_at_
 };
 
 }  // namespace rookdyke
--- a/src/mesh/mesh.cpp
+++ b/src/mesh/mesh.cpp
@@ -1,117 +1,135 @@
 #include "mesh/mesh.h"
 
+#include <chrono>
+#include <utility>
+
 namespace rookdyke::mesh {
 
 using nlohmann::json;
 
 namespace {
+
 constexpr int kMaxDepth = 32;
-constexpr uint64_t kMaxToken = uint64_t{1} << 53;  // tokens are revisions of the ledger
+constexpr uint64_t kMaxRevision = uint64_t{1} << 53;
+constexpr int kOk = 200;
+constexpr const char* kContentType = "application/json";
+constexpr std::chrono::milliseconds kConnectTimeout(400);
+constexpr std::chrono::milliseconds kTransferTimeout(500);
 
-// The library copies by recursion: a message of nothing but nested lists ends a small stack.
+// The library copies recursively: a message of deeply nested lists would overflow a small stack.
 json parse(const std::string& text) {
-  bool deep = false;
-  const auto shallow = [&](int depth, json::parse_event_t, json&) {
-    deep = deep || depth > kMaxDepth;
-    return !deep;
+  bool too_deep = false;
+  const auto accept = [&](int depth, json::parse_event_t, json&) {
+    too_deep = too_deep || depth > kMaxDepth;
+    return !too_deep;
   };
-  json j = json::parse(text, shallow, false);
-  return deep ? json(json::value_t::discarded) : j;
+  json parsed = json::parse(text, accept, false);
+  return too_deep ? json(json::value_t::discarded) : parsed;
+}
+
+// Names come from users and workers: invalid UTF-8 is replaced, and throws nothing.
+std::string dump(const json& message) {
+  return message.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// -1 would be read as the highest of all tokens, and depose every leader for ever.
-std::optional<uint64_t> revision(const json& j) {
-  if (!j.is_number_unsigned() || j.get<uint64_t>() > kMaxToken) return std::nullopt;
-  return j.get<uint64_t>();
+// A revision of the ledger, or a fencing token, which is one. -1 would be read as the highest of
+// all tokens, and depose every leader for ever.
+std::optional<uint64_t> parse_revision(const json& value) {
+  if (!value.is_number_unsigned() || value.get<uint64_t>() > kMaxRevision) return std::nullopt;
+  return value.get<uint64_t>();
 }
+
 }  // namespace
 
-json encode(const View& v) {
-  json out = {
-      {"label", v.label},   {"incarnation", v.incarnation},   {"read_to", v.read_to},
-      {"leader", v.leader}, {"token", v.fencing_token},       {"state_ok", v.state_ok},
-      {"writes", v.writes}, {"rate_lowered", v.rate_lowered}, {"sizes_lowered", v.sizes_lowered}};
-  if (!v.images.is_null()) out["images"] = v.images;
+json encode(const View& view) {
+  json out = {{"label", view.label},
+              {"incarnation", view.incarnation},
+              {"read_to", view.read_to},
+              {"leader", view.leader},
+              {"token", view.fencing_token},
+              {"state_ok", view.state_ok},
+              {"writes", view.write_demand},
+              {"rate_lowered", view.rate_lowered},
+              {"sizes_lowered", view.sizes_lowered}};
+  if (!view.image_locations.is_null()) out["images"] = view.image_locations;
   return out;
 }
 
-std::string text(const View& v) {
-  // Names come from users and workers; one that is no UTF-8 must not end the caller.
-  return encode(v).dump(-1, ' ', false, json::error_handler_t::replace);
-}
+std::string serialize(const View& view) { return dump(encode(view)); }
 
 std::optional<View> decode(const std::string& text) {
-  const json j = parse(text);
-  if (j.is_discarded()) return std::nullopt;
+  const json message = parse(text);
+  if (message.is_discarded()) return std::nullopt;
   try {
-    View v;
-    j.at("label").get_to(v.label);
-    j.at("leader").get_to(v.leader);
-    const auto fencing_token = revision(j.at("token"));
-    // One that is too high would let users hear of what no leader knows.
-    const auto read_to = revision(j.value("read_to", json(uint64_t{0})));
+    View view;
+    message.at("label").get_to(view.label);
+    message.at("leader").get_to(view.leader);
+    const auto fencing_token = parse_revision(message.at("token"));
+    // One that is too high would confirm cancellations that no leader knows.
+    const auto read_to = parse_revision(message.value("read_to", json(uint64_t{0})));
     if (!fencing_token || !read_to) return std::nullopt;
-    v.fencing_token = *fencing_token;
-    v.read_to = *read_to;
-    j.at("state_ok").get_to(v.state_ok);
-    v.writes = j.value("writes", 0.0);
-    if (v.writes < 0) return std::nullopt;
-    v.incarnation = j.value("incarnation", "");
-    v.rate_lowered = j.value("rate_lowered", false);
-    v.sizes_lowered = j.value("sizes_lowered", false);
-    if (j.contains("images")) v.images = j.at("images");
-    return v;
+    view.fencing_token = *fencing_token;
+    view.read_to = *read_to;
+    message.at("state_ok").get_to(view.state_ok);
+    view.write_demand = message.value("writes", 0.0);
+    if (view.write_demand < 0) return std::nullopt;
+    view.incarnation = message.value("incarnation", "");
+    view.rate_lowered = message.value("rate_lowered", false);
+    view.sizes_lowered = message.value("sizes_lowered", false);
+    if (message.contains("images")) view.image_locations = message.at("images");
+    return view;
   } catch (const json::exception&) {
     return std::nullopt;
   }
 }
 
-json encode(const Cancelled& c) {
+json encode(const Cancelled& cancelled) {
   json rows = json::array();
-  for (const Cancelled::Row& r : c.rows) rows.push_back(json::array({r.job, r.value, r.version}));
-  return {{"token", c.fencing_token}, {"rows", std::move(rows)}};
+  for (const Cancelled::Row& row : cancelled.rows)
+    rows.push_back(json::array({row.job, row.value, row.version}));
+  return {{"token", cancelled.fencing_token}, {"rows", std::move(rows)}};
 }
 
 std::optional<Cancelled> decode_cancelled(const std::string& text) {
-  const json j = parse(text);
-  if (j.is_discarded()) return std::nullopt;
+  const json message = parse(text);
+  if (message.is_discarded()) return std::nullopt;
   try {
-    Cancelled c;
-    const auto fencing_token = revision(j.at("token"));
+    Cancelled cancelled;
+    const auto fencing_token = parse_revision(message.at("token"));
     if (!fencing_token) return std::nullopt;
-    c.fencing_token = *fencing_token;
-    for (const json& r : j.at("rows")) {
-      const auto version = revision(r.at(2));
+    cancelled.fencing_token = *fencing_token;
+    for (const json& row : message.at("rows")) {
+      const auto version = parse_revision(row.at(2));
       if (!version) return std::nullopt;
-      c.rows.push_back({r.at(0).get<std::string>(), r.at(1), *version});
+      cancelled.rows.push_back({row.at(0).get<std::string>(), row.at(1), *version});
     }
-    return c;
+    return cancelled;
   } catch (const json::exception&) {
     return std::nullopt;
   }
 }
 
-Peer::Peer(const Sibling& s) : label_(s.label), http_(s.mesh.host, s.mesh.port) {
+Peer::Peer(const Sibling& sibling)
+    : label_(sibling.label), http_(sibling.mesh.host, sibling.mesh.port) {
   http_.set_keep_alive(true);
   http_.set_tcp_nodelay(true);
-  http_.set_connection_timeout(0, 400'000);
-  http_.set_read_timeout(0, 500'000);
-  http_.set_write_timeout(0, 500'000);
+  http_.set_connection_timeout(kConnectTimeout);
+  http_.set_read_timeout(kTransferTimeout);
+  http_.set_write_timeout(kTransferTimeout);
 }
 
 std::optional<View> Peer::exchange(const View& ours) {
-  const auto r = http_.Post(kView, text(ours), "application/json");
-  if (!r || r->status != 200) return std::nullopt;
-  return decode(r->body);
+  const auto response = http_.Post(kViewPath, serialize(ours), kContentType);
+  if (!response || response->status != kOk) return std::nullopt;
+  return decode(response->body);
 }
 
-std::optional<uint64_t> Peer::send_cancellations(const Cancelled& c) {
-  const auto r =
-      http_.Post(kCancelled, encode(c).dump(-1, ' ', false, json::error_handler_t::replace),
-                 "application/json");
-  if (!r || r->status != 200) return std::nullopt;
-  const json j = parse(r->body);
-  return j.is_object() && j.contains("token") ? revision(j["token"]) : std::nullopt;
+std::optional<uint64_t> Peer::send_cancellations(const Cancelled& cancelled) {
+  const auto response = http_.Post(kCancelledPath, dump(encode(cancelled)), kContentType);
+  if (!response || response->status != kOk) return std::nullopt;
+  const json answer = parse(response->body);
+  if (!answer.is_object() || !answer.contains("token")) return std::nullopt;
+  return parse_revision(answer["token"]);
 }
 
 }  // namespace rookdyke::mesh
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -1,8 +1,9 @@
 #pragma once
-// What siblings tell one another on mesh_addr, in JSON: who leads, with which token, whether the
-// state service answers, what changes a second they have use for. It makes a cut leader step aside
-// sooner and tells an outage from a cut. One rule rests on what they say of cancellations
-// (leadership/cancellations.h): no user hears of one that the leader may not know.
+// The messages that sibling controllers exchange on mesh_addr, in JSON, and the client for one
+// sibling. Views say who leads with which token, whether the state service answers, and how many
+// changes a second their sender needs: a partitioned leader steps down sooner, and an outage is
+// told from a partition. Notifications of cancellations let users hear of them
+// (leadership/cancellations.h). Keys and paths are fixed: older versions understand them.
 
 #include <httplib.h>
 
@@ -15,50 +16,57 @@
 
 namespace rookdyke::mesh {
 
-inline constexpr const char* kView = "/mesh/v1/view";
-inline constexpr const char* kCancelled = "/mesh/v1/cancelled";
+inline constexpr const char* kViewPath = "/mesh/v1/view";
+inline constexpr const char* kCancelledPath = "/mesh/v1/cancelled";
 
+// What a controller knows, as it tells its siblings.
 struct View {
   std::string label;
-  std::string incarnation;     // names the process, not the node
-  std::string leader;          // empty: none known
-  uint64_t fencing_token = 0;  // the highest known of
-  uint64_t read_to = 0;        // a leader has read the ledger up to here
-  bool state_ok = false;       // the state service answered lately
-  double writes = 0;           // changes a second it has use for
-  nlohmann::json images;       // from the leader, now and then: which machines hold which images
-  // The state service has lowered its limits: of changes a second, of sizes. Version 0.1 reads past
-  // these and says neither.
-  bool rate_lowered = false, sizes_lowered = false;
+  std::string incarnation;         // names the process, not the controller
+  std::string leader;              // its label; empty: none known
+  uint64_t fencing_token = 0;      // the highest known of
+  uint64_t read_to = 0;            // a leader has read the ledger up to this revision
+  bool state_ok = false;           // the state service answered lately
+  double write_demand = 0;         // changes a second that it needs
+  nlohmann::json image_locations;  // from the leader, now and then; otherwise null
+  // The state service has lowered its limit of changes a second. Version 0.1 ignores this and the
+  // next, and sends neither.
+  bool rate_lowered = false;
+  bool sizes_lowered = false;  // the same of its limits of sizes
 };
 
-nlohmann::json encode(const View& v);
-std::string text(const View& v);  // encoded, as it goes out
+nlohmann::json encode(const View& view);
+// The encoded view as it is sent.
+std::string serialize(const View& view);
+// Empty: malformed.
 std::optional<View> decode(const std::string& text);
 
-// To the holder of the leader key: rows of cancelled jobs, durable already. `token` is the leader's
-// as the sender knows it.
+// Notifies the holder of the leader key of cancelled jobs, whose rows are durable already.
 struct Cancelled {
   struct Row {
     std::string job;
     nlohmann::json value;
     uint64_t version = 0;
   };
-  uint64_t fencing_token = 0;
+  uint64_t fencing_token = 0;  // the leader's, as the sender knows it
   std::vector<Row> rows;
 };
-nlohmann::json encode(const Cancelled& c);
+
+nlohmann::json encode(const Cancelled& cancelled);
+// Empty: malformed.
 std::optional<Cancelled> decode_cancelled(const std::string& text);
 
-// One sibling; for one thread.
+// The client for one sibling. For one thread; every call has timeouts below a second.
 class Peer {
  public:
-  explicit Peer(const Sibling& s);
+  explicit Peer(const Sibling& sibling);
+
   const std::string& label() const { return label_; }
-  // Tells our view and hears theirs.
+  // Sends this controller's view and returns the sibling's; empty: no answer.
   std::optional<View> exchange(const View& ours);
-  // The token that it holds, having taken the rows up; 0: it holds none. Empty: no answer.
-  std::optional<uint64_t> send_cancellations(const Cancelled& c);
+  // The token that the sibling leads with, having applied the rows; 0: it does not lead. Empty: no
+  // answer.
+  std::optional<uint64_t> send_cancellations(const Cancelled& cancelled);
 
  private:
   std::string label_;
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -1,6 +1,6 @@
-// What makes a node a leader, and what makes one in doubt leave its workers: real nodes over HTTP,
-// against a state service, a cloud and a sibling written here. Every wait is for a condition, with
-// a deadline far beyond what it takes.
+// When a controller becomes the leader, and when an unconfirmed leader leaves its workers: real
+// controllers over HTTP, against a state service, a cloud and a sibling written here. Every wait is
+// for a condition, with a deadline far beyond what it takes.
 
 #include <gtest/gtest.h>
 
@@ -37,7 +37,7 @@
     if (!controller->start()) throw std::runtime_error("no port");
     return controller;
   }
-  void TearDown() override { cloud.use({{"n-a", 1}}); }  // its threads end without a node
+  void TearDown() override { cloud.use({{"n-a", 1}}); }  // its threads end without a controller
 
   StateService state;
   CloudAndWorkers cloud;
@@ -118,7 +118,7 @@
                   mesh::View v;
                   v.label = "n-b";
                   v.incarnation = "n-b.1";
-                  r.set_content(mesh::text(v), "application/json");
+                  r.set_content(mesh::serialize(v), "application/json");
                 }) {
     EXPECT_TRUE(server_.start());
   }
@@ -130,10 +130,10 @@
   net::Server server_;
 };
 
-// A leader that hears neither the state service nor a sibling is likelier cut off than a witness of
-// an outage. Answered 200 all the same, its workers would stay with it, out of reach of the leader
-// that the others elect, for as long as it is in doubt.
-TEST(Doubt, ALeaderThatHearsNobodyLeavesItsWorkers) {
+// A leader that hears neither the state service nor a sibling is likelier partitioned than in an
+// outage. Answered 200 all the same, its workers would stay with it, out of reach of the leader
+// that the others elect, for as long as it is unconfirmed.
+TEST(UnconfirmedLeader, ALeaderThatHearsNobodyLeavesItsWorkers) {
   StateService state;
   CloudAndWorkers cloud;
   SiblingStandIn sibling;
@@ -180,7 +180,7 @@
   sibling.answers = false;
   EXPECT_TRUE(until([&] { return report() == std::make_pair(503, std::string("cut off")); }));
   EXPECT_EQ(controller.role(), Role::unconfirmed);
-  sibling.answers = true;  // heard again, it is a witness again
+  sibling.answers = true;  // heard again: an outage that both are in
   EXPECT_TRUE(until([&] { return report().first == 200; }));
 }
 
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -1,4 +1,4 @@
-// Two real nodes with their real servers and clients on loopback, against a state service, a
+// Two real controllers with their real servers and clients on loopback, against a state service, a
 // cloud and a worker written here. What is checked does not depend on timing: every wait has a
 // deadline far beyond what it takes.
 
@@ -29,7 +29,7 @@
 using namespace test;
 using nlohmann::json;
 
-TEST_F(Loopback, AJobRunsAndEveryNodeSaysSo) {
+TEST_F(Loopback, AJobRunsAndEveryControllerSaysSo) {
   ASSERT_TRUE(somebody_leads());
   EXPECT_EQ(submit(a(), job("wk-000001", 5)), 201);
   EXPECT_EQ(submit(b(), job("wk-000001", 5)), 200);
@@ -83,7 +83,7 @@
   json j = job("wk-000003", 2000);  // far more than can be done before the abort
   EXPECT_EQ(submit(a(), j), 201);
   const std::string none;
-  // Its user is told at the first try, also by a node that does not lead.
+  // Its user is told at the first try, also by a controller that does not lead.
   const auto [status, body] = ask(follower(), "/v2/runs/wk-000003/abort", &none);
   ASSERT_EQ(status, 200);
   EXPECT_EQ(body.at("standing"), "aborted");
@@ -92,7 +92,7 @@
   EXPECT_EQ(ask(a(), "/v2/runs/wk-000088/abort", &none).first, 404);
 }
 
-// The leader cannot be told of a cancellation: nobody says "aborted" before it is known to have
+// The leader cannot be notified of a cancellation: nobody says "aborted" before it is known to have
 // read so far; then everybody does.
 TEST_F(LoopbackApart, ACancellationIsToldOnceTheLeaderHasReadIt) {
   ASSERT_TRUE(somebody_leads());
@@ -150,7 +150,7 @@
 }
 
 // A watch answers with all changes since, whatever their size: after a long cut they are more than
-// a node has memory for. It reads the rows as they are instead.
+// a controller has memory for. It reads the rows as they are instead.
 TEST_F(Loopback, FarBehindTheLedgerIsReadAnew) {
   ASSERT_TRUE(somebody_leads());
   EXPECT_EQ(submit(a(), job("wk-000021", 3)), 201);
@@ -166,15 +166,15 @@
   EXPECT_LT(state.longest_watch(), 1000u);
 }
 
-// However many poll at once, one look at the ledger answers all that wait for it: the state service
+// However many poll at once, one read of the ledger answers all that wait for it: the state service
 // is asked as often as its budget allows, and no more often for more polls.
-TEST(Polls, ThoseThatWaitTogetherShareALookAtTheLedger) {
+TEST(Polls, ThoseThatWaitTogetherShareAReadOfTheLedger) {
   constexpr size_t kUsers = 32, kPolls = 10;
   StateService state;
   CloudAndWorkers cloud;
   Config c = config("n-a", state.port(), cloud.port());
   c.nodes = 1;
-  c.state_rps = 20;  // some five looks a second
+  c.state_rps = 20;  // some five reads a second
   Controller controller(c);
   ASSERT_TRUE(controller.start());
   cloud.use({{"n-a", controller.port()}});
@@ -187,7 +187,7 @@
       httplib::Client http("127.0.0.1", controller.port());
       http.set_read_timeout(10, 0);
       for (size_t k = 0; k < kPolls; ++k) {
-        // That there is no such job is said only after a look at the ledger.
+        // That there is no such job is said only after a read of the ledger.
         const auto r = http.Get("/v2/runs/wk-000099");
         EXPECT_TRUE(r && (r->status == 404 || r->status == 503));
         if (r && r->status == 404) ++answered;
@@ -316,7 +316,7 @@
 }
 
 // A request that waited for long, and whose sender has left, is not carried out: it may be as old
-// as the time that the process stood still, and its sender has asked another node since.
+// as the suspension of the process, and its sender has asked another controller since.
 TEST(Server, WhoHasLeftIsNotServed) {
   std::mutex mutex;
   std::condition_variable changed;
@@ -355,7 +355,7 @@
   EXPECT_EQ(served, (std::vector<std::string>{"/busy", "/waits"}));
 }
 
-// A node that is alone in its trouble answers at once and lets the connection go, so that its
+// A controller that is alone in its trouble answers at once and lets the connection go, so that its
 // user's next request reaches another.
 TEST(Server, AHandlerMayCloseAfterItsAnswer) {
   net::Server server({"127.0.0.1", 0}, 10, 2, 65536,
@@ -374,7 +374,7 @@
   server.halt();
 }
 
-// A rental request or a return is not sent by a node that is not certain any more to lead.
+// A rental request or a return is not sent by a controller whose term may be over.
 TEST(Cloud, NothingIsSentByOneThatMayLeadNoMore) {
   std::atomic<int> asked{0};
   net::Server server({"127.0.0.1", 0}, 4, 4, 65536,
@@ -454,8 +454,8 @@
   v.leader = "n2";
   v.fencing_token = 9;
   v.state_ok = true;
-  v.writes = 2.5;
-  v.images = {{"images", 1}};
+  v.write_demand = 2.5;
+  v.image_locations = {{"images", 1}};
   const json good = mesh::encode(v);
   ASSERT_TRUE(mesh::decode(good.dump()));
   const std::vector<std::pair<const char*, json>> bad = {
@@ -474,7 +474,7 @@
   EXPECT_FALSE(mesh::decode(deep));
 }
 
-// Names that are no UTF-8 are told in JSON all the same.
+// Names that are no UTF-8 are sent in JSON all the same.
 TEST(Mesh, NamesThatAreNoTextAreOutlived) {
   net::Server server({"127.0.0.1", 0}, 4, 4, 65536,
                      [&](const httplib::Request&, httplib::Response& r) { r.status = 404; });
@@ -484,7 +484,7 @@
     mesh::View ours;
     ours.label = "n0";
     ours.leader = "\xff";
-    ours.images = {{"images", {"\xfe"}}};
+    ours.image_locations = {{"images", {"\xfe"}}};
     EXPECT_NO_THROW(peer.exchange(ours));
   }
   server.halt();
@@ -525,8 +525,8 @@
                        v.fencing_token = 9;
                        v.read_to = 31;
                        v.state_ok = true;
-                       v.writes = 2.5;
-                       v.images = {{"images", 1}};
+                       v.write_demand = 2.5;
+                       v.image_locations = {{"images", 1}};
                        r.set_content(mesh::encode(v).dump(), "application/json");
                      });
   ASSERT_TRUE(server.start());
@@ -541,7 +541,7 @@
     EXPECT_EQ(v->leader, "n2");
     EXPECT_EQ(v->incarnation, "n1.7");
     EXPECT_EQ(v->read_to, 31u);
-    EXPECT_EQ(v->images.at("images"), 1);
+    EXPECT_EQ(v->image_locations.at("images"), 1);
   }
   server.halt();
   EXPECT_EQ(heard.fencing_token, 4u);
