--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -1,6 +1,7 @@
 #pragma once
-// The users' requests over HTTP: submissions, polls and cancellations. What the replica knows and
-// how it writes lies behind the interface JobLedger.
+// The users' requests over HTTP: submissions, polls and cancellations. Called by the HTTP server's
+// threads; reads and writes the ledger through the interface JobLedger, which the controller
+// implements. A job is answered as accepted or cancelled only after that is durable.
 
 #include <httplib.h>
 
@@ -17,8 +18,8 @@
 
 namespace rookdyke {
 
-// What users' requests need of their replica. All functions are thread-safe and lock for
-// themselves; none may be called from within `read`.
+// What users' requests need of their replica. All functions are thread-safe and do their own
+// locking; none may be called from within `read`.
 class JobLedger {
  public:
   virtual ~JobLedger() = default;
@@ -26,32 +27,32 @@
   // Read barrier: true once `read` shows at least all that was committed before this call; false if
   // that can't be had in time, or at all.
   virtual bool wait_for_barrier(double timeout_s) = 0;
-  // Calls `look` with the replica's copy of the ledger, under the mutex that guards it: `look` sees
-  // one moment, and must not block.
+  // Calls `look` with the replica's cache of the ledger, under the mutex that guards it: `look`
+  // sees a consistent state, and must not block.
   virtual void read(const std::function<void(const LedgerCache&)>& look) const = 0;
   // What machines can be rented; empty as long as that, or the ledger, has not been read.
   virtual std::vector<MachineType> machine_types() const = 0;
 
-  // A mark that no other transaction ever had.
+  // An id that no other transaction ever had.
   virtual std::string new_transaction_id() = 0;
-  // Brings a transaction to an outcome: an unanswered one is repeated word for word. Empty: it may
-  // yet be executed, or not; the user has to ask again. It is waited for only while it may succeed:
-  // a state service that refuses, or a queue that is too long, ends it at once. `deadline` is of
-  // steady_now().
+  // Executes a transaction; one that is not answered is retried unchanged. Empty: it is unknown
+  // whether it is or will be executed, and the user has to ask again. Gives up before the deadline
+  // (seconds of steady_now()) if the state service refuses, or too many wait for it.
   virtual std::optional<ledger::Result> commit(const ledger::Transaction& transaction,
                                                double deadline) = 0;
-  // A row that was committed: `read` shows it from now on.
+  // Applies a committed row to the cache: `read` shows it from now on.
   virtual void apply_committed(const wire::Row& row) = 0;
 
-  // Whether a user may hear "aborted" of a job whose cancellation is durable; waits for that until
-  // the deadline. `leader`: whose key the write was conditional on, 0: unknown.
+  // Whether a durable cancellation may be confirmed to its user, since the leader knows of it;
+  // waits for that until the deadline (seconds of steady_now()). `leader`: version of the leader
+  // key that the write was conditional on, 0: unknown.
   virtual bool may_confirm_cancelled(const std::string& job, double deadline, uint64_t leader) = 0;
-  // Siblings say that the state service answers them: trouble with it is this replica's alone.
+  // Whether the state service answers the siblings, as they report: if it does not answer here,
+  // only this replica is cut off from it.
   virtual bool siblings_are_served() const = 0;
 };
 
-// Answers users. Thread-safe: requests are served in threads of their own, and share nothing but
-// the ledger.
+// Answers users. Thread-safe: requests have no state in common but the ledger.
 class UserApi {
  public:
   // Both must outlive this object.
@@ -63,15 +64,16 @@
  private:
   void submit(const httplib::Request& request, httplib::Response& response);
   void poll(const std::string& id, httplib::Response& response);
-  void abort(const std::string& id, httplib::Response& response);
+  void cancel(const std::string& id, httplib::Response& response);
 
-  // Steps of a submission. Those that return bool: whether it was answered.
-  bool answer_known(const std::string& id, double deadline, httplib::Response& response);
-  bool answer_if_seen(const std::string& id, double deadline, httplib::Response& response);
+  // Steps of a submission. Those that return bool return whether the request was answered.
+  bool answer_from_ledger(const std::string& id, double deadline, httplib::Response& response);
+  bool answer_if_known(const std::string& id, double deadline, httplib::Response& response);
   bool answer_if_accepted_elsewhere(const std::string& id, double deadline,
                                     httplib::Response& response);
   std::optional<JobSpec> admit(const std::string& id, const nlohmann::json& body, double deadline,
                                httplib::Response& response);
+  ledger::JobRow new_row(const JobSpec& spec, const std::string& transaction_id) const;
   void accept(const std::string& id, const JobSpec& spec, double deadline,
               httplib::Response& response);
 
@@ -82,10 +84,10 @@
 
   void answer_job(const std::string& id, const JobAnswer& answer, bool with_counts, double deadline,
                   httplib::Response& response);
-  // Why the connection is let go with a refusal.
-  enum class Elsewhere { if_siblings_are_served, always };
-  void refuse(httplib::Response& response, const char* why,
-              Elsewhere elsewhere = Elsewhere::if_siblings_are_served);
+  // Whether a refusal closes the connection, so that the load balancer sends the retry elsewhere.
+  enum class Connection { close_if_siblings_are_served, close };
+  void refuse(httplib::Response& response, const char* reason,
+              Connection connection = Connection::close_if_siblings_are_served);
 
   const Settings& settings_;
   JobLedger& ledger_;
--- a/src/net/rate_limiter.h
+++ b/src/net/rate_limiter.h
@@ -1,5 +1,7 @@
 #pragma once
-// A node's part of a rate limit that all nodes share. Takers wait their turn in order of asking.
+// A replica's share of a rate limit that all replicas have in common: a token bucket. Used by the
+// clients of the state service and the cloud. Callers that have to wait are served in the order in
+// which they called.
 
 #include <algorithm>
 #include <chrono>
@@ -10,19 +12,20 @@
 
 namespace rookdyke::net {
 
+// Thread-safe.
 class RateLimiter {
  public:
   using Clock = std::chrono::steady_clock;
 
   explicit RateLimiter(double per_s) : total_(per_s), rate_(per_s) {}
 
-  // The node's share changes with its role: the leader has most.
+  // This replica's share, 0 to 1; it changes with its role: the leader has most.
   void set_share(double share) {
     std::lock_guard lock(mutex_);
     refill();
     rate_ = std::max(0.01, total_ * share);
   }
-  // The limit for all nodes together has become this.
+  // The limit for all replicas together has changed to this.
   void set_total(double per_s) {
     std::lock_guard lock(mutex_);
     refill();
@@ -30,46 +33,47 @@
     total_ = per_s;
     level_ = std::min(level_, burst());
   }
-  // Takes n without waiting for its turn, and leaves the others to wait: for what is rare and must
-  // not be late.
+  // Takes n at once, ahead of those that wait; the level may become negative. For requests that are
+  // rare and must not be late, such as lease renewals.
   void take_first(double n) {
     std::lock_guard lock(mutex_);
     refill();
     asked_ += n;
     level_ -= n;
   }
-  // How long until n are there.
+  // Seconds until n are available.
   double wait_for(double n) {
     std::lock_guard lock(mutex_);
     refill();
     const double need = std::min(n, burst());
     return level_ >= need ? 0 : (need - level_) / rate_;
   }
-  // What is there now, whole numbers only.
+  // What is available now, rounded down to a whole number.
   double there() {
     std::lock_guard lock(mutex_);
     refill();
     return std::max(0.0, std::floor(level_));
   }
-  // What was asked for since the last call, given or not.
+  // What was asked for since the last call, whether or not it was granted.
   double asked() {
     std::lock_guard lock(mutex_);
     return std::exchange(asked_, 0.0);
   }
-  // After a 429: everything waits a little.
+  // After a 429: nothing is available for the next s seconds.
   void penalty(double s) {
     std::lock_guard lock(mutex_);
     refill();
     level_ = std::min(level_, -s * rate_);
   }
-  // Takes n; sleeps until they are there, unless that takes longer than max_wait_s.
+  // Takes n; sleeps until they are available. False, and nothing taken: that would take longer than
+  // max_wait_s.
   bool take(double n, double max_wait_s) {
     double wait = 0;
     {
       std::lock_guard lock(mutex_);
       refill();
       asked_ += n;
-      // One that asks for more than a second's worth passes once the bucket is full.
+      // A request for more than the bucket holds passes once the bucket is full.
       const double need = std::min(n, burst());
       if (level_ < need) wait = (need - level_) / rate_;
       if (wait > max_wait_s) return false;
@@ -80,7 +84,8 @@
   }
 
  private:
-  // A small share still lets a few through at once: the limit itself bears a second's worth.
+  // The bucket's size. A few may pass at once even with a small share, since the common limit
+  // allows a second's worth at once.
   double burst() const { return std::max({1.0, std::min(4.0, 0.15 * total_), 0.8 * rate_}); }
   void refill() {
     const auto now = Clock::now();
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -20,17 +20,21 @@
 constexpr int kIdleMs = 60'000;  // a silent kept-open connection is closed after this
 constexpr int kSweepMs = 5'000;
 constexpr std::chrono::seconds kThreadIdle(10);
-constexpr size_t kThreadsKept = 4;
-constexpr int kReadMs = 5'000;  // within a request
+constexpr size_t kMinIdleThreads = 4;  // these do not end
+constexpr int kReadMs = 5'000;         // for the next bytes within a request
 constexpr int kWriteMs = 5'000;
 constexpr size_t kMaxHead = size_t{64} * 1024;  // of a request: its headers, and what chunks take
 constexpr int kBacklog = 512;                   // the library's is 5
-// A request that waited for a thread this long is looked at again: its sender may have left.
-constexpr std::chrono::milliseconds kLongWait(500);
-constexpr size_t kStack = 1 << 20;  // reserved, not used: the library matches headers recursively
+// After a request has waited for a thread for so long, its connection is checked again: its sender
+// may have given up.
+constexpr std::chrono::milliseconds kRecheckAfter(500);
+constexpr size_t kEventBatch = 64;
+constexpr size_t kStackBytes =
+    1 << 20;  // reserved, not used: the library matches headers recursively
 
-constexpr const char* kLeft = "/left";
-thread_local bool closing = false;  // of the request that this thread serves
+constexpr const char* kServePath = "/";
+constexpr const char* kPeerClosedPath = "/left";  // of requests whose sender is not there any more
+thread_local bool close_requested = false;  // by the handler of the request that this thread serves
 
 bool wait_for(int fd, short events, int ms) {
   pollfd p{fd, events, 0};
@@ -42,7 +46,8 @@
 
 }  // namespace
 
-// Buffers both ways: a request is usually one recv, an answer one send.
+// A connection's socket, buffered in both directions: a request is usually one recv, an answer one
+// send.
 class ConnectionStream : public httplib::Stream {
  public:
   explicit ConnectionStream(int fd) : fd_(fd) {}
@@ -57,8 +62,8 @@
   bool spent() const { return left_ == 0; }
   bool buffered() const { return from_ < in_.size(); }
   bool peer_left() const { return wait_for(fd_, POLLRDHUP, 0); }
-  // Nothing is kept for a connection that waits.
-  void rest() {
+  // Frees the buffers of a connection that becomes idle.
+  void release_buffers() {
     std::string().swap(in_);
     std::string().swap(out_);
     from_ = 0;
@@ -145,34 +150,34 @@
   }
 }
 
-void Threads::enqueue(std::function<void()> fn) {
+void ThreadPool::enqueue(std::function<void()> fn) {
   std::unique_lock lock(mutex_);
-  jobs_.push_back(std::move(fn));
-  if (idle_ >= jobs_.size() || threads_ >= most_) {
+  queue_.push_back(std::move(fn));
+  if (idle_ >= queue_.size() || threads_ >= max_threads_) {
     wake_.notify_one();
     return;
   }
   ++threads_;
   lock.unlock();
   try {
-    start_thread([this] { run(); }, kStack);
+    start_thread([this] { run(); }, kStackBytes);
   } catch (const std::system_error&) {
     lock.lock();
-    --threads_;  // it waits for a thread that is there
+    --threads_;  // a thread that runs already takes the work
   }
 }
 
-void Threads::run() {
+void ThreadPool::run() {
   std::unique_lock lock(mutex_);
   while (true) {
     ++idle_;
     const bool woken =
-        wake_.wait_for(lock, kThreadIdle, [this] { return stop_ || !jobs_.empty(); });
+        wake_.wait_for(lock, kThreadIdle, [this] { return stop_ || !queue_.empty(); });
     --idle_;
-    if (!woken && idle_ < kThreadsKept) continue;
-    if (jobs_.empty()) break;
-    auto fn = std::move(jobs_.front());
-    jobs_.pop_front();
+    if (!woken && idle_ < kMinIdleThreads) continue;
+    if (queue_.empty()) break;
+    auto fn = std::move(queue_.front());
+    queue_.pop_front();
     lock.unlock();
     fn();
     fn = nullptr;
@@ -182,7 +187,7 @@
   ended_.notify_all();
 }
 
-void Threads::shutdown() {
+void ThreadPool::shutdown() {
   std::unique_lock lock(mutex_);
   stop_ = true;
   wake_.notify_all();
@@ -191,28 +196,28 @@
 
 Server::Server(Endpoint at, size_t max_connections, size_t max_threads, size_t max_body,
                const Handle& handle)
-    : at_(std::move(at)), most_(max_connections), most_threads_(max_threads) {
+    : at_(std::move(at)), max_connections_(max_connections), max_threads_(max_threads) {
   set_payload_max_length(max_body);
   set_tcp_nodelay(true);
   set_keep_alive_max_count(1'000'000);
   set_keep_alive_timeout(kIdleMs / 1000);
-  new_task_queue = [this] { return threads_ = new Threads(most_threads_); };
+  new_task_queue = [this] { return thread_pool_ = new ThreadPool(max_threads_); };
   // The library routes by regular expressions, which recurse over the path; every request is
   // routed as "/" and told apart by its target (process_and_close_socket).
-  // One whose sender has left is not carried out (the process may have stood still meanwhile): its
-  // user has asked somebody else since, and so has its worker.
-  const httplib::Server::Handler left = [](const httplib::Request&, httplib::Response& res) {
+  // A request whose sender has closed the connection is not executed (it may have waited while the
+  // process was suspended): its sender has retried at another replica since.
+  const httplib::Server::Handler peer_closed = [](const httplib::Request&, httplib::Response& res) {
     res.status = 503;
     res.set_header("Retry-After", "1");
   };
-  Get("/", handle);
-  Post("/", handle);
-  Put("/", handle);
-  Delete("/", handle);
-  Get(kLeft, left);
-  Post(kLeft, left);
-  Put(kLeft, left);
-  Delete(kLeft, left);
+  Get(kServePath, handle);
+  Post(kServePath, handle);
+  Put(kServePath, handle);
+  Delete(kServePath, handle);
+  Get(kPeerClosedPath, peer_closed);
+  Post(kPeerClosedPath, peer_closed);
+  Put(kPeerClosedPath, peer_closed);
+  Delete(kPeerClosedPath, peer_closed);
   set_exception_handler([](const httplib::Request&, httplib::Response& res,
                            const std::exception_ptr&) { res.status = 500; });
   set_error_handler(Handler([](const httplib::Request&, httplib::Response& res) {
@@ -253,7 +258,7 @@
   ::close(wake_);
 }
 
-void Server::close_after_answer() { closing = true; }
+void Server::close_after_answer() { close_requested = true; }
 
 void Server::close(const std::shared_ptr<ConnectionStream>& stream) {
   --open_;
@@ -265,14 +270,14 @@
 bool Server::process_and_close_socket(socket_t sock) {
   const int one = 1;
   ::setsockopt(sock, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  if (++open_ > most_) make_way();
-  keep(std::make_shared<ConnectionStream>(sock));
+  if (++open_ > max_connections_) close_longest_idle();
+  watch(std::make_shared<ConnectionStream>(sock));
   return true;
 }
 
-// Connections run short: the one that has been idle for longest is likeliest of a machine or user
-// that is gone. New ones are never refused, health checks and siblings among them.
-void Server::make_way() {
+// At the limit of connections, the longest idle one is closed: it is the likeliest to belong to a
+// machine or user that has disappeared. New ones, among them health checks, are never refused.
+void Server::close_longest_idle() {
   std::shared_ptr<ConnectionStream> stream;
   {
     std::lock_guard lock(mutex_);
@@ -286,9 +291,9 @@
   close(stream);
 }
 
-void Server::keep(std::shared_ptr<ConnectionStream> stream) {
+void Server::watch(std::shared_ptr<ConnectionStream> stream) {
   const int fd = stream->socket();
-  stream->rest();
+  stream->release_buffers();
   epoll_event e{};
   e.events = EPOLLIN | EPOLLRDHUP | EPOLLONESHOT;
   e.data.fd = fd;
@@ -298,7 +303,7 @@
     return close(stream);
   }
   idle_[fd] = {std::move(stream), std::chrono::steady_clock::now()};
-  // A connection that was watched before is still known to epoll, disarmed.
+  // A connection that was watched before is still registered with epoll, disarmed (EPOLLONESHOT).
   if (::epoll_ctl(epoll_, EPOLL_CTL_MOD, fd, &e) != 0 &&
       ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &e) != 0) {
     stream = std::move(idle_[fd].stream);
@@ -308,57 +313,71 @@
   }
 }
 
+// Hands a connection on which a request begins, or which its peer closed, to the thread pool.
+void Server::dispatch(const epoll_event& event) {
+  std::shared_ptr<ConnectionStream> stream;
+  {
+    std::lock_guard lock(mutex_);
+    const auto found = idle_.find(event.data.fd);
+    if (found == idle_.end()) return;
+    stream = std::move(found->second.stream);
+    idle_.erase(found);
+  }
+  const bool peer_closed = event.events & (EPOLLRDHUP | EPOLLHUP);
+  thread_pool_->enqueue([this, stream, peer_closed, since = std::chrono::steady_clock::now()] {
+    serve(stream, peer_closed, since);
+  });
+}
+
+// Closes the connections that have been idle for kIdleMs.
+void Server::close_expired(Time now) {
+  std::vector<std::shared_ptr<ConnectionStream>> expired;
+  {
+    std::lock_guard lock(mutex_);
+    for (auto it = idle_.begin(); it != idle_.end();) {
+      const bool is_expired = now - it->second.idle_since > std::chrono::milliseconds(kIdleMs);
+      if (is_expired) expired.push_back(std::move(it->second.stream));
+      it = is_expired ? idle_.erase(it) : std::next(it);
+    }
+  }
+  for (const auto& stream : expired) close(stream);
+}
+
 void Server::watch_idle() {
-  std::vector<epoll_event> events(64);
-  auto swept = std::chrono::steady_clock::now();
+  std::vector<epoll_event> events(kEventBatch);
+  auto swept_at = std::chrono::steady_clock::now();
   while (!halting_) {
-    const int n = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), kSweepMs);
-    for (int i = 0; i < n; ++i) {
-      std::unique_lock lock(mutex_);
-      auto it = idle_.find(events[static_cast<size_t>(i)].data.fd);
-      if (it == idle_.end()) continue;
-      std::shared_ptr<ConnectionStream> stream = std::move(it->second.stream);
-      idle_.erase(it);
-      lock.unlock();
-      const bool left = events[static_cast<size_t>(i)].events & (EPOLLRDHUP | EPOLLHUP);
-      threads_->enqueue([this, stream, left, since = std::chrono::steady_clock::now()] {
-        serve(stream, left, since);
-      });
-    }
+    const int count =
+        ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), kSweepMs);
+    for (int i = 0; i < count; ++i) dispatch(events[static_cast<size_t>(i)]);
     const auto now = std::chrono::steady_clock::now();
-    if (now - swept < std::chrono::milliseconds(kSweepMs)) continue;
-    swept = now;
-    std::vector<std::shared_ptr<ConnectionStream>> silent;
-    {
-      std::lock_guard lock(mutex_);
-      for (auto it = idle_.begin(); it != idle_.end();) {
-        const bool finished = now - it->second.idle_since > std::chrono::milliseconds(kIdleMs);
-        if (finished) silent.push_back(std::move(it->second.stream));
-        it = finished ? idle_.erase(it) : std::next(it);
-      }
-    }
-    for (auto& s : silent) close(s);
+    if (now - swept_at < std::chrono::milliseconds(kSweepMs)) continue;
+    swept_at = now;
+    close_expired(now);
   }
   std::lock_guard lock(mutex_);
-  for (auto& [fd, c] : idle_) close(c.stream);
+  for (auto& [fd, connection] : idle_) close(connection.stream);
   idle_.clear();
 }
 
-void Server::serve(std::shared_ptr<ConnectionStream> stream, bool left, Time since) {
+void Server::serve(std::shared_ptr<ConnectionStream> stream, bool peer_closed,
+                   Time readable_since) {
   if (!stream->begin()) return close(stream);
-  if (!left && std::chrono::steady_clock::now() - since > kLongWait) left = stream->peer_left();
+  if (!peer_closed && std::chrono::steady_clock::now() - readable_since > kRecheckAfter)
+    peer_closed = stream->peer_left();
   do {
     bool closed = false;
-    closing = false;
-    const bool ok = process_request(*stream, left, closed, [&](httplib::Request& r) {
-      r.path = left ? kLeft : "/";
-      const bool sized = r.has_header("Content-Length") && !r.has_header("Transfer-Encoding");
-      stream->allow(sized ? SIZE_MAX : payload_max_length_ + kMaxHead);
+    close_requested = false;
+    const bool ok = process_request(*stream, peer_closed, closed, [&](httplib::Request& request) {
+      request.path = peer_closed ? kPeerClosedPath : kServePath;
+      const bool has_length =
+          request.has_header("Content-Length") && !request.has_header("Transfer-Encoding");
+      stream->allow(has_length ? SIZE_MAX : payload_max_length_ + kMaxHead);
     });
-    if (!stream->flush() || !ok || closed || left || closing || stream->spent())
+    if (!stream->flush() || !ok || closed || peer_closed || close_requested || stream->spent())
       return close(stream);
   } while (stream->buffered() && stream->begin());
-  keep(std::move(stream));
+  watch(std::move(stream));
 }
 
 }  // namespace rookdyke::net
