--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -9,7 +9,7 @@
 #include "ledger/rented_list.h"
 #include "mesh/mesh.h"
 #include "scheduler/scheduler.h"
-#include "scheduler_fixtures.h"
+#include "scheduler/scheduler_fixtures.h"
 
 namespace rookdyke {
 namespace {
--- /dev/null
+++ b/tests/scheduler/job_states_test.cpp
@@ -0,0 +1,54 @@
+// Jobs that are over stay over: final states, and rows that are seen late.
+
+#include <gtest/gtest.h>
+
+#include "model/states.h"
+#include "scheduler/scheduler_guards_fixture.h"
+
+namespace rookdyke {
+namespace {
+
+using namespace test;
+
+TEST(States, TerminalStatesAreTerminal) {
+  for (const JobState to : {JobState::open, JobState::closing, JobState::done})
+    EXPECT_FALSE(allowed(JobState::cancelled, to));
+  for (const JobState to : {JobState::open, JobState::closing, JobState::cancelled})
+    EXPECT_FALSE(allowed(JobState::done, to));
+  EXPECT_FALSE(allowed(AttemptState::proposed, AttemptState::running));
+  EXPECT_FALSE(allowed(AttemptState::ended, AttemptState::running));
+  EXPECT_FALSE(allowed(MachineState::terminated, MachineState::ready));
+  EXPECT_TRUE(allowed(MachineState::draining, MachineState::ready));
+}
+
+// A copy of a job's row that comes after the job is over must not bring it back.
+TEST(Scheduler, AFinishedJobStaysFinished) {
+  Scheduler scheduler = one_zone_scheduler();
+  const CachedJob row = one_task_job(3);
+  scheduler.on_job_row(row, "wk-000001", 1);
+  ASSERT_TRUE(scheduler.find_job("wk-000001"));
+  CachedJob finished = row;
+  finished.version = 5;
+  finished.row.status = ledger::JobStatus::cancelled;
+  scheduler.on_job_row(finished, "wk-000001", 2);
+  EXPECT_FALSE(scheduler.find_job("wk-000001"));
+  scheduler.on_job_row(row, "wk-000001", 3);
+  EXPECT_FALSE(scheduler.find_job("wk-000001"));
+}
+
+// A done job's row as it was when it was open, seen late: all of its tasks would run again.
+TEST_F(SchedulerGuards, ADoneJobIsNotReopened) {
+  scheduler.on_heartbeat(heartbeat(1, 1), 1);
+  submit("wk-000001", 1);
+  start_all(1);
+  scheduler.on_heartbeat(heartbeat(1, 2), 2);
+  scheduler.on_heartbeat(heartbeat(1, 3, {task("wk-000001", TaskPhase::exited, ExitCause::done)}),
+                         3);
+  start_all(4);
+  ASSERT_FALSE(scheduler.find_job("wk-000001"));
+  scheduler.on_job_row(job_row(1, revision + 1), "wk-000001", 5);
+  EXPECT_FALSE(scheduler.find_job("wk-000001"));
+}
+
+}  // namespace
+}  // namespace rookdyke
--- /dev/null
+++ b/tests/scheduler/lease_clock_test.cpp
@@ -0,0 +1,34 @@
+// What a process knows of its lease after it was paused.
+
+#include "leadership/lease_clock.h"
+
+#include <gtest/gtest.h>
+
+namespace rookdyke {
+namespace {
+
+TEST(LeaseClock, WhatWasKnownBeforeAStallIsVoid) {
+  LeaseClock clock(100);
+  clock.kept(100.1);
+  EXPECT_TRUE(clock.lease_confirmed(100.5, 2.5));
+  EXPECT_EQ(clock.stall(100.6), 0);
+  EXPECT_EQ(clock.stall(101.5), 0);
+  // An outage: renewals fail, and the process runs throughout. The lease is unconfirmed, but not by
+  // a stall.
+  clock.asked(102);
+  EXPECT_EQ(clock.stall(102.4), 0);
+  EXPECT_FALSE(clock.runs(103, 2.5));
+  EXPECT_TRUE(clock.lease_confirmed(103, 2.5));
+  // The process is paused: nothing is sure until the lease has been asked for again.
+  EXPECT_NEAR(clock.stall(130), 27.6, 1e-9);
+  EXPECT_FALSE(clock.lease_confirmed(130, 2.5));
+  clock.asked(129);  // an answer to what was sent before it resumed
+  EXPECT_FALSE(clock.lease_confirmed(130.1, 2.5));
+  clock.asked(130.05);
+  EXPECT_TRUE(clock.lease_confirmed(130.2, 2.5));
+  clock.kept(130.3);
+  EXPECT_TRUE(clock.runs(132, 2.5));
+}
+
+}  // namespace
+}  // namespace rookdyke
--- a/tests/lowered_limits_test.cpp
+++ b/tests/scheduler/lowered_limits_test.cpp
@@ -3,13 +3,17 @@
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <map>
+#include <memory>
+#include <optional>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "scheduler/scheduler.h"
-#include "scheduler_fixtures.h"
+#include "scheduler/scheduler_fixtures.h"
 
 namespace rookdyke {
 namespace {
@@ -18,7 +22,6 @@
 using ledger::Outcome;
 using nlohmann::json;
 
-constexpr uint64_t kToken = 7;
 constexpr const char* kSmall = "wk-000001";
 constexpr const char* kArray = "wk-000002";
 constexpr uint32_t kSmallTasks = 40;
@@ -75,8 +78,8 @@
     std::vector<std::pair<std::string, std::pair<json, uint64_t>>> order(rows.begin(), rows.end());
     if (backwards) std::reverse(order.begin(), order.end());
     for (const auto& [key, row] : order) ledger_cache.put(key, row.first, row.second);
-    auto out =
-        std::make_unique<Scheduler>(settings, std::vector<MachineType>{bare_type()}, kToken, 0);
+    auto out = std::make_unique<Scheduler>(settings, std::vector<MachineType>{bare_type()},
+                                           kLeaderToken, 0);
     out->load(ledger_cache, 0);
     return out;
   }
@@ -91,7 +94,7 @@
   }
 
   void end_task(const Task& task, ExitCause cause, double now) {
-    Heartbeat r = bare_heartbeat(0, 1, kToken);
+    Heartbeat r = bare_heartbeat(0, 1, kLeaderToken);
     r.machine = machine(task);
     r.tasks.push_back({task.first, task.second, 1, TaskPhase::exited, cause, false});
     scheduler->on_heartbeat(r, now);
@@ -241,7 +244,7 @@
   EXPECT_LT(per, kPer);
   CachedJob job = bare_job(200, {0.05, 0.01, 0.1}, 50);
   job.row.chunk_size = per;
-  for (int i = 1; i <= 3; ++i) scheduler->on_heartbeat(bare_heartbeat(i, 1, kToken), 1);
+  for (int i = 1; i <= 3; ++i) scheduler->on_heartbeat(bare_heartbeat(i, 1, kLeaderToken), 1);
   scheduler->on_job_row(job, "wk-000003", 1);
   for (int round = 0; round < 5; ++round) {
     scheduler->round(1);
@@ -267,7 +270,7 @@
   rows[ledger::page_key(0)] = {ledger::encode(page), 4};
   scheduler = leader();
   scheduler->apply_lowered_limits();
-  for (int i = 1; i <= 70; ++i) scheduler->on_heartbeat(bare_heartbeat(i, 1, kToken), 1);
+  for (int i = 1; i <= 70; ++i) scheduler->on_heartbeat(bare_heartbeat(i, 1, kLeaderToken), 1);
   for (double now = 1; now < 6; now += 0.5) {
     scheduler->round(now);
     while (auto p = scheduler->next_transaction(now)) answer(*p, now);
--- a/tests/scheduler_fixtures.h
+++ b/tests/scheduler/scheduler_fixtures.h
@@ -1,6 +1,6 @@
 #pragma once
-// What tests of the scheduler by itself share: a small deployment, reports written by hand, a
-// ledger.
+// What tests of the scheduler by itself share: a small deployment, heartbeats written by hand, rows
+// of a ledger.
 
 #include <string>
 
@@ -8,6 +8,9 @@
 
 namespace rookdyke::test {
 
+// The fencing token of the leader in most of these tests.
+inline constexpr uint64_t kLeaderToken = 7;
+
 inline Settings bare_settings() {
   Settings s;
   s.label = "n0";
@@ -31,7 +34,7 @@
   return t;
 }
 
-// A job of the team as its row tells, in a single chunk.
+// A job of the team "team" as its row tells, in a single chunk.
 inline CachedJob bare_job(uint32_t tasks, const Resources& per_task, uint64_t version) {
   CachedJob job;
   job.version = version;
@@ -77,4 +80,47 @@
   return m;
 }
 
+// The row of an open job of seven tasks, three a chunk, of the team "t".
+inline nlohmann::json open_job_row() {
+  ledger::JobRow row;
+  row.tasks = 7;
+  row.chunk_size = 3;
+  row.spec = JobSpec{};
+  row.spec->team = "t";
+  return ledger::encode(row);
+}
+
+// A leader with that token at time 0, for teams named "t".
+inline Scheduler one_zone_scheduler() {
+  MachineType type;
+  type.name = "box";
+  type.size = {16, 4, 64};
+  type.cache_gb = 100;
+  type.zones = {"a"};
+  Settings settings;
+  settings.zones = {"a"};
+  settings.teams = {{"t", 0, 0, 0, 0}};
+  return Scheduler(settings, {type}, kLeaderToken, 0);
+}
+
+// A heartbeat of m-1 without epoch, number and token.
+inline Heartbeat heartbeat_of_m1() {
+  Heartbeat r;
+  r.machine = "m-1";
+  r.addr = "h:1";
+  r.type = "box";
+  r.zone = "a";
+  return r;
+}
+
+// A job with a single task, as its row tells.
+inline CachedJob one_task_job(uint64_t version) {
+  CachedJob job;
+  job.version = version;
+  job.row.tasks = job.row.chunk_size = 1;
+  job.row.spec = JobSpec{};
+  job.row.spec->team = "t";
+  return job;
+}
+
 }  // namespace rookdyke::test
--- a/tests/services_test.cpp
+++ b/tests/scheduler/services_test.cpp
@@ -1,4 +1,4 @@
-// Services: replicas that run until their job is cancelled, and again wherever one falls.
+// Services: replicas that run until their job is cancelled, and again wherever one ends.
 
 #include <gtest/gtest.h>
 
@@ -8,9 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "admission/admission.h"
 #include "scheduler/scheduler.h"
-#include "scheduler_fixtures.h"
+#include "scheduler/scheduler_fixtures.h"
 
 namespace rookdyke {
 namespace {
@@ -18,14 +17,13 @@
 using namespace test;
 using ledger::Outcome;
 
-constexpr uint64_t kToken = 7;
 constexpr const char* kService = "wk-000001";
 constexpr const char* kOther = "wk-000002";
 
-// A leader with a few machines whose reports are written by the test.
+// A leader with a few machines whose heartbeats are written by the test.
 class Services : public testing::Test {
  protected:
-  Services() : scheduler(settings(), {bare_type()}, kToken, 0) {}
+  Services() : scheduler(settings(), {bare_type()}, kLeaderToken, 0) {}
 
   // Machines that are nearly empty stay: moving off them is for scenarios.
   static Settings settings() {
@@ -41,11 +39,11 @@
     job.row.spec->priority = priority;
     scheduler.on_job_row(job, id, now);
   }
-  // A report of that machine with all its tasks as they are, but for the ones that are named.
+  // A heartbeat of that machine with all its tasks as they are, but for the ones that are named.
   HeartbeatReply report(int machine, double now,
                         std::map<std::pair<std::string, uint32_t>, ExitCause> ends = {},
                         double notice_s = -1) {
-    Heartbeat r = bare_heartbeat(machine, ++seq, kToken);
+    Heartbeat r = bare_heartbeat(machine, ++seq, kLeaderToken);
     r.notice_s = notice_s;
     for (const auto& m : scheduler.machines()) {
       if (m->name != r.machine) continue;
@@ -72,7 +70,7 @@
     scheduler.round(now);
     commit_all(now);
   }
-  // Machines report, what waits is placed and made durable, and runs.
+  // Machines send heartbeats, what waits is placed and made durable, and runs.
   void run_on(int machines, double now) {
     for (int i = 1; i <= machines; ++i) report(i, now);
     round(now);
@@ -94,7 +92,7 @@
   uint64_t seq = 0;
 };
 
-TEST_F(Services, ReplicasStandApart) {
+TEST_F(Services, ReplicasRunOnDifferentMachines) {
   submit(kService, 4, 1);
   run_on(4, 1);
   EXPECT_EQ(running(), 4u);
@@ -127,7 +125,7 @@
 }
 
 // Never two at once: the end of the first is durable before the next one is proposed.
-TEST_F(Services, NothingRunsAgainBeforeItsMachineIsProvenRidOfIt) {
+TEST_F(Services, NoReplicaRunsAgainBeforeItsEndIsReported) {
   submit(kService, 1, 1);
   run_on(2, 1);
   const int machine = machine_of(0);
@@ -214,76 +212,15 @@
   submit(kOther, 100, 30, JobShape::array);
   report(1, 30);
   report(1, 31, {{{kService, 0}, ExitCause::none}});
-  scheduler.on_heartbeat(bare_heartbeat(1, ++seq, kToken), 32);  // it lists nothing any more
+  scheduler.on_heartbeat(bare_heartbeat(1, ++seq, kLeaderToken), 32);  // it lists no task
   commit_all(45);
   report(1, 45);
   round(45);
   ASSERT_TRUE(service().attempts.count(0));
 }
 
-// The changes a second are few: what is written first decides what starts in time.
-class OrderOfWrites : public testing::Test {
- protected:
-  OrderOfWrites() : scheduler(settings(), {bare_type()}, kToken, 0) {}
-  static Settings settings() {
-    Settings s = bare_settings();
-    s.objectives.push_back({true, "promised", 5});
-    return s;
-  }
-  void submit(const std::string& id, const std::string& job_class, JobShape shape, double now) {
-    CachedJob job = bare_job(1, {1, 0, 1}, ++revision);
-    job.row.spec->job_class = job_class;
-    job.row.spec->shape = shape;
-    scheduler.on_job_row(job, id, now);
-    scheduler.on_heartbeat(bare_heartbeat(1, ++seq, kToken), now);
-    scheduler.round(now);
-  }
-  // Whose starts are written one after the other.
-  std::vector<std::string> written(double now) {
-    std::vector<std::string> out;
-    while (auto p = scheduler.next_transaction(now)) {
-      const auto& change = p->txn.changes.at(0);
-      if (change.key.rfind(ledger::kTaskPrefix, 0) == 0)
-        out.push_back(change.value.at("e").at(0).at(0).get<std::string>());
-      scheduler.on_result(p->id, {Outcome::applied, ++revision, {}}, now);
-    }
-    return out;
-  }
-
-  Scheduler scheduler;
-  uint64_t revision = 100, seq = 0;
-};
-
-TEST_F(OrderOfWrites, ReplicasGoFirstThenPromisedStarts) {
-  submit("wk-000001", "usual", JobShape::array, 1);
-  submit("wk-000002", "promised", JobShape::array, 6);
-  submit("wk-000003", "api", JobShape::service, 7);
-  EXPECT_EQ(written(7), (std::vector<std::string>{"wk-000003", "wk-000002", "wk-000001"}));
-}
-
-TEST_F(OrderOfWrites, NothingIsPutOffForEverForPromisedStarts) {
-  submit("wk-000001", "usual", JobShape::array, 1);
-  submit("wk-000002", "promised", JobShape::array, 12);
-  EXPECT_EQ(written(12.1), (std::vector<std::string>{"wk-000001", "wk-000002"}));
-}
-
-TEST(ServiceAdmission, AllReplicasTogetherHaveToFitTheTeamsLimit) {
-  JobSpec job;
-  job.team = "team";
-  job.shape = JobShape::service;
-  job.tasks = 4;
-  job.per_task = {2, 0, 4};
-  const std::vector<TeamQuota> teams = {{"team", 0, 7, 0, 0}};
-  EXPECT_TRUE(never_runs(job, {bare_type()}, teams, {"a"}));
-  job.tasks = 3;
-  EXPECT_FALSE(never_runs(job, {bare_type()}, teams, {"a"}));
-  job.shape = JobShape::array;
-  job.tasks = 4;
-  EXPECT_FALSE(never_runs(job, {bare_type()}, teams, {"a"}));
-}
-
 // Version 0.1 takes a service for an array and may have written that a replica is done.
-TEST_F(Services, WhatAnOldLeaderTookForDoneRunsAgain) {
+TEST_F(Services, WhatALeaderOfVersion01TookForDoneRunsAgain) {
   LedgerCache m;
   ledger::JobRow row;
   row.tasks = row.chunk_size = 2;
--- /dev/null
+++ b/tests/scheduler/starts_test.cpp
@@ -0,0 +1,151 @@
+// Starts whose machine changes between the decision, the write and the command: what would go wrong
+// without the guard is said above each test.
+
+#include <gtest/gtest.h>
+
+#include <functional>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "scheduler/scheduler_guards_fixture.h"
+
+namespace rookdyke {
+namespace {
+
+using namespace test;
+
+// Invariant 1: a start is written on condition of the leader key, its page and its job's version.
+TEST(Scheduler, AStartIsWrittenOnItsConditions) {
+  Scheduler scheduler(bare_settings(), {bare_type()}, 7, 0);
+  scheduler.load(ledger_with_a_task_on_m1(ledger::JobStatus::open, 1), 0);
+  scheduler.on_heartbeat(bare_heartbeat(1, 1, 7), 1);
+  scheduler.round(1);
+  bool started = false;
+  while (const auto p = scheduler.next_transaction(1)) {
+    if (p->txn.changes.at(0).key != "rd/t/0") continue;
+    started = true;
+    std::map<std::string, uint64_t> conditions;
+    for (const auto& c : p->txn.conditions) conditions[c.key] = c.version;
+    EXPECT_EQ(conditions, (std::map<std::string, uint64_t>{
+                              {"rd/leader", 7}, {"rd/t/0", 4}, {"rd/j/wk-000001", 3}}));
+  }
+  EXPECT_TRUE(started);
+}
+
+// A proposal that is no longer valid just before it is written is not written: its task would wait
+// for a machine that starts nothing.
+class ProposedStart : public SchedulerGuards {
+ protected:
+  // Proposes a start on m-1, lets `change` happen, and returns the starts that are then written.
+  std::vector<ledger::LiveAttempt> written_after(const std::function<void()>& change) {
+    submit("wk-000003", 4);
+    scheduler.round(4);
+    EXPECT_EQ(state_of_task("wk-000003"), AttemptState::proposed);
+    change();
+    std::vector<ledger::LiveAttempt> out;
+    while (const auto p = page_write(8)) {
+      for (const ledger::LiveAttempt& l : live_in(*p)) out.push_back(l);
+      apply(*p, 8);
+    }
+    return out;
+  }
+};
+
+TEST_F(ProposedStart, AStartOnAMachineThatHasNotChangedIsWritten) {
+  scheduler.on_heartbeat(heartbeat(1, 1), 1);
+  EXPECT_EQ(written_after([] {}).size(), 1u);
+}
+
+TEST_F(ProposedStart, NoStartIsWrittenForAMachineThatFailsEverything) {
+  run_two_jobs();
+  EXPECT_TRUE(
+      written_after([&] { scheduler.on_heartbeat(heartbeat_of_two_failures(4), 5); }).empty());
+  EXPECT_TRUE(m1().cordoned);
+}
+
+TEST_F(ProposedStart, NoStartIsWrittenForAMachineThatIsRecalled) {
+  scheduler.on_heartbeat(heartbeat(1, 1), 1);
+  EXPECT_TRUE(written_after([&] {
+                Heartbeat r = heartbeat(1, 2);
+                r.notice_s = 20;
+                scheduler.on_heartbeat(r, 5);
+              }).empty());
+}
+
+TEST_F(ProposedStart, NoStartIsWrittenForAMachineThatFailed) {
+  scheduler.on_heartbeat(heartbeat(1, 1), 1);
+  EXPECT_TRUE(written_after([&] {
+                scheduler.on_machine_list(
+                    {{"m-1", "", "box", "a", false, ListedMachine::State::failed, 10}}, 5, 5);
+              }).empty());
+  EXPECT_EQ(m1().state, MachineState::terminating);
+}
+
+// The worker lost its lease: a start under its earlier epoch would be ended by its next heartbeat.
+TEST_F(ProposedStart, NoStartIsWrittenForAnEarlierEpoch) {
+  scheduler.on_heartbeat(heartbeat(1, 1), 1);
+  EXPECT_TRUE(written_after([&] { scheduler.on_heartbeat(heartbeat(2, 1), 5); }).empty());
+  EXPECT_TRUE(scheduler.find_job("wk-000003")->waiting.count(0));
+}
+
+// The same while the write is under way: the start becomes durable and is not commanded.
+TEST_F(SchedulerGuards, AStartThatBecomesDurableOnACordonedMachineIsNotCommanded) {
+  run_two_jobs();
+  submit("wk-000003", 4);
+  scheduler.round(4);
+  const auto p = page_write(4);
+  ASSERT_TRUE(p);
+  ASSERT_EQ(state_of_task("wk-000003"), AttemptState::proposed);
+  scheduler.on_heartbeat(heartbeat_of_two_failures(4), 5);
+  ASSERT_TRUE(m1().cordoned);
+  apply(*p, 6);
+  EXPECT_EQ(direct_starts(6), 0u);
+  EXPECT_EQ(count_starts(scheduler.on_heartbeat(heartbeat(1, 5), 7).commands), 0u);
+  EXPECT_TRUE(scheduler.find_job("wk-000003")->attempts.at(0).stop ||
+              state_of_task("wk-000003") == AttemptState::ended);
+}
+
+// A start that was committed for an earlier epoch, commanded in a later one: the next heartbeat of
+// that epoch would prove the attempt over while its task runs, and it would start elsewhere.
+// `Scheduler::settle_page` stops it, and `Scheduler::next_direct_command` compares the epochs:
+// either suffices.
+TEST_F(SchedulerGuards, AStartCommittedForAnEarlierEpochIsNotCommanded) {
+  scheduler.on_heartbeat(heartbeat(1, 1), 1);
+  submit("wk-000001", 1);
+  scheduler.round(1);
+  const auto p = page_write(1);
+  ASSERT_TRUE(p);
+  ASSERT_EQ(live_in(*p).size(), 1u);
+  // Its silence was long enough for its lease to end without our answers being at fault.
+  scheduler.on_heartbeat(heartbeat(2, 1), 20);
+  apply(*p, 21);
+  EXPECT_EQ(direct_starts(21), 0u);
+  EXPECT_EQ(count_starts(scheduler.on_heartbeat(heartbeat(2, 2), 22).commands), 0u);
+  EXPECT_EQ(state_of_task("wk-000001"), AttemptState::ended);
+}
+
+// No controller was there for longer than a lease: the worker ended everything, and its first
+// heartbeat to the new leader is of its next epoch. Commanded again under its old attempt, the task
+// would run in an epoch that the ledger does not name, where the next leader's first heartbeat
+// would prove it over.
+TEST_F(SchedulerGuards, WhatRanInAnEarlierEpochStartsUnderANewAttempt) {
+  scheduler.load(ledger_with_a_task_on_m1(ledger::JobStatus::open, 1), 0);
+  EXPECT_TRUE(scheduler.on_heartbeat(heartbeat(2, 1), 1).commands.empty());
+  EXPECT_EQ(state_of_task("wk-000001"), AttemptState::ended);
+  const auto ends = page_write(5);
+  ASSERT_TRUE(ends);
+  EXPECT_TRUE(live_in(*ends).empty());
+  apply(*ends, 5);
+  scheduler.on_heartbeat(heartbeat(2, 2), 6);
+  scheduler.round(6);
+  const auto starts = page_write(6);
+  ASSERT_TRUE(starts);
+  for (const ledger::LiveAttempt& l : live_in(*starts)) {
+    EXPECT_EQ(l.epoch, 2u);
+    EXPECT_EQ(l.attempt, 2u);
+  }
+}
+
+}  // namespace
+}  // namespace rookdyke
--- a/tests/starvation_test.cpp
+++ b/tests/scheduler/starvation_test.cpp
@@ -2,12 +2,13 @@
 
 #include <gtest/gtest.h>
 
-#include "scheduler_fixtures.h"
+#include "scheduler/scheduler_fixtures.h"
 
 namespace rookdyke {
 namespace {
 
-constexpr uint64_t kToken = 7;
+using namespace test;
+
 constexpr int kMachines = 64;
 constexpr size_t kPlacesOfAMachine = 4;
 constexpr uint32_t kSeveralTimesTheFleet = 20'000;
@@ -31,11 +32,11 @@
 // Starts of the array in the first round of a leader, 64 empty machines of four places each.
 size_t starts_in_first_round(uint32_t tasks, double waited) {
   constexpr double kNow = 500;
-  Scheduler scheduler(test::bare_settings(), {test::bare_type()}, kToken, kNow);
+  Scheduler scheduler(bare_settings(), {bare_type()}, kLeaderToken, kNow);
   scheduler.set_day_offset(0);
   scheduler.load(ledger_with_array(tasks, kNow - waited), kNow);
   for (int i = 0; i < kMachines; ++i)
-    scheduler.on_heartbeat(test::bare_heartbeat(i, 1, kToken), kNow);
+    scheduler.on_heartbeat(bare_heartbeat(i, 1, kLeaderToken), kNow);
   scheduler.round(kNow);
   return scheduler.find_job("wk-000001")->attempts.size();
 }
