--- a/src/ledger/page_table.cpp
+++ b/src/ledger/page_table.cpp
@@ -63,8 +63,7 @@
     if (i == kNone) continue;
     Page& page = pages_[i];
     if (!page.members.empty() || page.split_from != kNone || page.unwritten_splits > 0) continue;
-    page.dirty_since = -1;
-    page.write_urgency = WriteUrgency::none;
+    page.mark_clean();
   }
 }
 
@@ -72,9 +71,7 @@
   const uint32_t first = job.chunk_of(task);
   if (job.chunks.at(first).page == kNone)
     add_chunk(job, first, page_for(job.chunk_bytes(first), job.page_kind()));
-  Page& page = pages_[job.chunks.at(first).page];
-  if (page.dirty_since < 0) page.dirty_since = now;
-  page.write_urgency = std::min(page.write_urgency, urgency);
+  pages_[job.chunks.at(first).page].mark_dirty(urgency, now);
 }
 
 }  // namespace rookdyke
--- a/src/ledger/page_table.h
+++ b/src/ledger/page_table.h
@@ -21,7 +21,6 @@
   Page& operator[](Index page) { return pages_[page]; }
   const Page& operator[](Index page) const { return pages_[page]; }
   Index size() const { return static_cast<Index>(pages_.size()); }
-  std::vector<Page>& all() { return pages_; }
   const std::vector<Page>& all() const { return pages_; }
   // The page of that number; pages up to it are added if there were fewer.
   Page& at_least(Index page);
--- /dev/null
+++ b/src/ledger_writer/page_writer.h
@@ -0,0 +1,69 @@
+#pragma once
+// Writes pages: picks the next one, drafts its entries with as many new starts as fit, and applies
+// the result to the attempts it is about. A page is dirty, then in flight, then either durable or
+// dirty again. LedgerWriter sends what is drafted here; at most one write of a page is in flight.
+
+#include <cstddef>
+#include <optional>
+#include <vector>
+
+#include "ledger/page_table.h"
+#include "ledger/rows.h"
+#include "ledger_writer/ledger_limits.h"
+#include "ledger_writer/ledger_write.h"
+#include "ledger_writer/page_content.h"
+#include "model/settings.h"
+#include "scheduler/job_table.h"
+#include "scheduler/task_lifecycle.h"
+
+namespace rookdyke {
+
+class PageWriter {
+ public:
+  // All must outlive this object.
+  PageWriter(const Settings& settings, const LedgerLimits& limits, const PageContent& content,
+             JobTable& jobs, PageTable& pages, TaskLifecycle& lifecycle)
+      : settings_(settings),
+        limits_(limits),
+        content_(content),
+        jobs_(jobs),
+        pages_(pages),
+        lifecycle_(lifecycle) {}
+
+  // The page to write next: by who waits for it, then by age. Mere ends are gathered, as their
+  // workers list them until they are durable. Empty: there is none.
+  std::optional<Index> next_page(double now) const;
+  // Whether starts of tasks wait for the page to be written.
+  bool starts_wait_for(Index page) const;
+  // Dirty pages; those in flight count only if they have changed since.
+  size_t dirty_count() const;
+
+  // Drafts the page into a transaction that has its id and the leader's condition. The page is in
+  // flight from now on. Withdraws proposals that make no sense any more.
+  LedgerWrite begin_write(Index page, ledger::Transaction transaction, double now);
+  // Such a write was answered (anything but unknown). True: tasks have become free to start again.
+  bool on_result(const PageWrite& write, const std::vector<Index>& jobs,
+                 const ledger::Result& result, double now);
+
+ private:
+  struct Draft;
+
+  void draft_entries(const Page& page, Draft& draft);
+  ledger::PageEntry draft_entry(const Job& job, uint32_t first) const;
+  void collect_attempts(Job& job, uint32_t first, Draft& draft);
+  void add_starts(Draft& draft, std::vector<ledger::Condition>& conditions);
+  void on_not_applied(Page& page, const std::vector<Index>& jobs, ledger::Outcome outcome,
+                      double now);
+  void mark_durable(Page& page, uint64_t revision);
+  void place_started(const std::vector<TaskRef>& started, double now);
+  bool release_ended(const std::vector<TaskRef>& ended);
+
+  const Settings& settings_;
+  const LedgerLimits& limits_;
+  const PageContent& content_;
+  JobTable& jobs_;
+  PageTable& pages_;
+  TaskLifecycle& lifecycle_;
+};
+
+}  // namespace rookdyke
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -24,6 +24,8 @@
       pages_(settings_),
       lifecycle_(jobs_, machines_, team_usage_, pages_, pending_commands_),
       loader_(settings_, catalog_, jobs_, pages_, lifecycle_, claim_),
+      ledger_writer_(settings_, catalog_, jobs_, machines_, pages_, rented_list_, lifecycle_,
+                     claim_),
       eligibility_(settings_, catalog_, machines_),
       replicas_(settings_, eligibility_, jobs_, machines_, lifecycle_),
       boot_tracker_(settings_, catalog_, machines_, now),
@@ -39,7 +41,7 @@
 const Job* Scheduler::find_job(const std::string& id) const { return jobs_.find(id); }
 
 void Scheduler::load(const LedgerCache& ledger, double now) {
-  load_fleet(ledger, now);
+  ledger_writer_.load_rented_list(ledger, now);
   loader_.load(ledger, now);
   size_t live = 0;
   for (const auto& job : jobs_)
@@ -52,6 +54,17 @@
   if (loader_.on_job_row(row, id, now)) needs_round_ = true;
 }
 
+void Scheduler::on_result(uint64_t id, const ledger::Result& result, double now) {
+  if (ledger_writer_.on_result(id, result, now)) needs_round_ = true;
+}
+
+size_t Scheduler::backlog() const {
+  size_t n = unsent();
+  for (const auto& job : jobs_)
+    if (job) n += std::min<size_t>(job->waiting.size(), 64);
+  return n;
+}
+
 void Scheduler::round(double now) {
   if (claim_.is_lost()) return;
   needs_round_ = false;
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -4,7 +4,6 @@
 // sockets, clocks or randomness of its own, so scenarios drive it in simulated time.
 //
 // core.cpp          life of jobs, taking over from the ledger
-// transactions.cpp  what is written to the ledger, and what its answers mean
 // reports.cpp       what a worker's report proves, and the orders it is answered with
 // services.cpp      replicas of services: where they go, and how they move
 // placement.cpp     what runs where, preemption
@@ -29,6 +28,7 @@
 #include "ledger/page_table.h"
 #include "ledger/rented_list.h"
 #include "ledger/rows.h"
+#include "ledger_writer/ledger_writer.h"
 #include "model/job.h"
 #include "model/machine.h"
 #include "model/scheduler_messages.h"
@@ -88,8 +88,10 @@
 
   // Transactions: at most one in flight per chunk.
   // `room`: so many changes may be made at once; a single row always may.
-  std::optional<PendingTransaction> next_transaction(double now, size_t room = SIZE_MAX);
-  size_t unsent() const;  // rows that wait to be written
+  std::optional<PendingTransaction> next_transaction(double now, size_t room = SIZE_MAX) {
+    return ledger_writer_.next_transaction(now, room);
+  }
+  size_t unsent() const { return ledger_writer_.unsent(); }  // rows that wait to be written
   void on_result(uint64_t id, const ledger::Result& result, double now);
 
   std::optional<RentalRequest> next_rental_request(double now);
@@ -104,8 +106,8 @@
   uint64_t fencing_token() const { return claim_.fencing_token(); }
   // A condition on the leader key failed, or the ledger contradicts us: stop leading.
   // The state service has lowered its limits to Settings::next_limits: what is larger is split.
-  void apply_lowered_limits();
-  bool uses_lowered_limits() const { return uses_lowered_limits_; }
+  void apply_lowered_limits() { ledger_writer_.apply_lowered_limits(); }
+  bool uses_lowered_limits() const { return ledger_writer_.uses_lowered_limits(); }
 
   bool has_lost_leadership() const { return claim_.is_lost(); }
   // Most machines that reported to us have fallen silent: the silence is likely ours.
@@ -126,27 +128,6 @@
   const Job* find_job(const std::string& id) const;
 
  private:
-  struct InFlightTransaction;
-
-  // -- transactions.cpp
-  struct PageDraft;
-  std::optional<PendingTransaction> page_transaction(Index page, double now);
-  void draft_entries(const Page& page, PageDraft& draft);
-  void add_starts(PageDraft& draft, InFlightTransaction& f);
-  ledger::Chunk durable_chunk(const Job& job, uint32_t first, uint32_t count) const;
-  size_t wanted_size(const Job& job, uint32_t first) const;
-  size_t wanted_size(const Page& page) const;
-  size_t page_room() const;
-  void split_large_chunks(Index page);
-  void split_chunk(Job& job, uint32_t first);
-  bool split_page(Index page, double now);
-  Index next_page(double now) const;
-  std::optional<PendingTransaction> closing_transaction(double now, size_t room);
-  void take_rejection(const InFlightTransaction& f);
-  std::string transaction_id_of(uint64_t txn) const;
-  void settle_page(const InFlightTransaction& f, const ledger::Result& r, double now);
-  void settle_closing(const InFlightTransaction& f, const ledger::Result& r);
-
   // -- reports.cpp
   void record_heartbeat(Machine& m, const Heartbeat& r, double now);
   static void record_replica_run(Machine& m, Job& job, Attempt& a, double now);
@@ -244,8 +225,6 @@
   bool holds_cancelled(const Machine& m) const;
   bool holds_overdue(const Machine& m, double now) const;
   void drop_machine(Machine& m, double now, const char* why);
-  std::optional<PendingTransaction> fleet_transaction(double now);
-  void load_fleet(const LedgerCache& ledger_cache, double now);
 
   const Settings settings_;
   Catalog catalog_;
@@ -259,13 +238,13 @@
   PendingCommands pending_commands_;
   TaskLifecycle lifecycle_;
   JobLoader loader_;
+  LedgerWriter ledger_writer_;
   Eligibility eligibility_;
   ReplicaMover replicas_;
   BootTracker boot_tracker_;
   FaultDetector faults_;
 
   double announce_token_at_ = 0;
-  bool uses_lowered_limits_ = false;
   bool needs_round_ = false;
   bool starts_allowed_ = true;
   bool mass_silence_ = false;
@@ -298,18 +277,7 @@
   double preempt_at_ = 0;
   Work work_;
 
-  uint64_t next_txn_ = 0, next_rental_number_ = 0;
-  struct InFlightTransaction {
-    enum class Kind : uint8_t { page, closing, fleet } kind = Kind::page;
-    Index page = kNone;
-    std::vector<std::pair<Index, uint32_t>> started, ended;  // (job, task)
-    std::vector<Index> jobs;  // each counted in Job::in_flight_transactions
-    ledger::Transaction txn;
-    double repeat_at = -1;  // outcome unknown: goes out again, unchanged
-    bool sent_again = false;
-  };
-  std::map<uint64_t, InFlightTransaction> in_flight_transactions_;
-  double closing_since_ = -1;  // the oldest of them
+  uint64_t next_rental_number_ = 0;
 
   std::vector<TypeState> type_state_;
   double next_sample_ = 0;
