--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -33,7 +33,9 @@
       demand_(settings_, catalog_, jobs_, machines_, now),
       cloud_requests_(settings_, catalog_, claim_, jobs_, machines_, lifecycle_, monitor_),
       fleet_planner_(settings_, catalog_, demand_, monitor_, machines_, replicas_,
-                     cloud_requests_) {}
+                     cloud_requests_),
+      placement_(settings_, catalog_, jobs_, machines_, team_usage_, lifecycle_, eligibility_,
+                 work_) {}
 
 const Job* Scheduler::find_job(const std::string& id) const { return jobs_.find(id); }
 
@@ -74,7 +76,7 @@
       claim_.lose("the row of job " + job->spec.id + " is not as we know it");
       return;
     }
-  place(now);
+  placement_.place(now, backlog());
   fleet_planner_.plan(now);
 }
 
