--- a/src/model/job.h
+++ b/src/model/job.h
@@ -28,9 +28,7 @@
   double running_since = 0;
   bool proven = false;    // a replica that ran for long enough to show that it can
   bool shielded = false;  // its job had starved: not to be stopped for higher ranks
-  // The report in whose answer `run` was last ordered; (0,0): never by this leader.
-  uint64_t ordered_epoch = 0, ordered_seq = 0;
-  bool direct = false;  // a `run` sent straight to its worker may still be executed
+  bool direct = false;    // a `run` sent straight to its worker may still be executed
 };
 
 // The page that some consecutive tasks of a job lie in; kNone: never written.
--- a/src/model/states.cpp
+++ b/src/model/states.cpp
@@ -1,29 +1,30 @@
 #include "model/states.h"
 
 #include <array>
+#include <cstddef>
 
 namespace rookdyke {
 
-std::string_view to_string(JobState s) {
-  static constexpr std::array<std::string_view, 4> kNames{"open", "closing", "done", "aborted"};
-  return kNames[static_cast<size_t>(s)];
+std::string_view to_string(JobState state) {
+  static constexpr std::array<std::string_view, 4> kNames{"open", "closing", "done", "cancelled"};
+  return kNames[static_cast<size_t>(state)];
 }
-std::string_view to_string(AttemptState s) {
+std::string_view to_string(AttemptState state) {
   static constexpr std::array<std::string_view, 7> kNames{
-      "proposed", "placed", "pulling", "gathering", "running", "saving", "ended"};
-  return kNames[static_cast<size_t>(s)];
+      "proposed", "placed", "fetching", "gang_waiting", "running", "checkpointing", "ended"};
+  return kNames[static_cast<size_t>(state)];
 }
-std::string_view to_string(MachineState s) {
+std::string_view to_string(MachineState state) {
   static constexpr std::array<std::string_view, 5> kNames{"booting", "ready", "draining",
-                                                          "condemned", "gone"};
-  return kNames[static_cast<size_t>(s)];
+                                                          "terminating", "terminated"};
+  return kNames[static_cast<size_t>(state)];
 }
 
 bool allowed(JobState from, JobState to) {
   switch (from) {
     case JobState::open:
       return to == JobState::closing || to == JobState::cancelled;
-    case JobState::closing:  // the closing transaction may still lose to an abort
+    case JobState::closing:  // the closing transaction may still lose to a cancellation
       return to == JobState::done || to == JobState::cancelled || to == JobState::open;
     case JobState::done:
     case JobState::cancelled:
--- a/src/model/types.h
+++ b/src/model/types.h
@@ -1,8 +1,11 @@
 #pragma once
-// The vocabulary of the scheduler. Names are mapped to dense indices at the door (Names) and stay
-// indices inside; only logs and messages turn them back into text.
+// The scheduler's basic types: what users ask for, what workers say and are told. Names become
+// dense indices where they enter (NameTable) and stay indices inside; only logs and messages turn
+// them back into text. Plain data without owners; used by all modules.
 
 #include <algorithm>
+#include <compare>
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <unordered_map>
@@ -12,7 +15,7 @@
 namespace rookdyke {
 
 using Index = uint32_t;
-inline constexpr Index kNone = UINT32_MAX;
+inline constexpr Index kNone = UINT32_MAX;  // no such thing
 
 // A table of names; an index is never reused within a process.
 class NameTable {
@@ -22,11 +25,12 @@
     if (fresh) names_.push_back(name);
     return it->second;
   }
+  // kNone if the name was never interned.
   Index find(const std::string& name) const {
     auto it = ids_.find(name);
     return it == ids_.end() ? kNone : it->second;
   }
-  const std::string& name(Index i) const { return names_[i]; }
+  const std::string& name(Index index) const { return names_[index]; }
   size_t size() const { return names_.size(); }
 
  private:
@@ -34,30 +38,38 @@
   std::vector<std::string> names_;
 };
 
-// array: independent tasks; gang: all run at the same time or none does; service: replicas that run
-// until the job is cancelled.
+// What a job's tasks are to each other. array: independent tasks; gang: all run at the same time or
+// none does; service: replicas that run until the job is cancelled.
 enum class JobShape : uint8_t { array, gang, service };
+// Lowest first.
 enum class Priority : uint8_t { idle, standard, urgent, critical };
 
+// An amount of what machines have and tasks need.
 struct Resources {
   double cpus = 0, gpus = 0, memory_gb = 0;
 
-  Resources& operator+=(const Resources& o) {
-    cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
+  Resources& operator+=(const Resources& other) {
+    cpus += other.cpus;
+    gpus += other.gpus;
+    memory_gb += other.memory_gb;
     return *this;
   }
-  Resources& operator-=(const Resources& o) {
-    cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
+  Resources& operator-=(const Resources& other) {
+    cpus -= other.cpus;
+    gpus -= other.gpus;
+    memory_gb -= other.memory_gb;
     return *this;
   }
-  Resources scaled(double k) const { return {cpus * k, gpus * k, memory_gb * k}; }
+  Resources scaled(double factor) const {
+    return {cpus * factor, gpus * factor, memory_gb * factor};
+  }
   // The largest ratio over the resources that a machine of that size has.
   double dominant_share(const Resources& size) const {
-    double r = 0;
-    if (size.cpus > 0) r = std::max(r, cpus / size.cpus);
-    if (size.gpus > 0) r = std::max(r, gpus / size.gpus);
-    if (size.memory_gb > 0) r = std::max(r, memory_gb / size.memory_gb);
-    return r;
+    double share = 0;
+    if (size.cpus > 0) share = std::max(share, cpus / size.cpus);
+    if (size.gpus > 0) share = std::max(share, gpus / size.gpus);
+    if (size.memory_gb > 0) share = std::max(share, memory_gb / size.memory_gb);
+    return share;
   }
   // The slack absorbs the rounding of sums of decimal amounts.
   bool fits_in(const Resources& room) const {
@@ -69,38 +81,52 @@
 
 // A job as its user described it, in text; what the ledger stores.
 struct JobSpec {
-  std::string id, job_class, team, image, zone;  // zone empty: any
+  std::string id, job_class, team, image;
+  std::string zone;  // empty: any
   JobShape shape = JobShape::array;
   Priority priority = Priority::standard;
   uint32_t tasks = 1;
   Resources per_task;
   double image_gb = 0;
   std::vector<std::string> types;  // empty: any
-  bool single_zone = false, spread_zones = false, spot = false;
-  double expected_runtime_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0,
-         deadline_s = 0;
+  bool single_zone = false;        // all tasks in one zone
+  bool spread_zones = false;       // at most half of the tasks, rounded up, in any zone
+  bool spot = false;               // may use spot machines
+  double expected_runtime_s = 0;
+  double checkpoint_interval_s = 0;  // 0: its tasks cannot save
+  double checkpoint_duration_s = 0;
+  double deadline_s = 0;
 };
 
+// A kind of machine that the cloud rents out. Prices are per hour.
 struct MachineType {
   std::string name;
   Resources size;
-  double cache_gb = 0, fetch_gb_per_s = 1, price = 0, spot_price = 0, boot_s = 0;
+  double cache_gb = 0;  // of images; 0: without limit
+  double fetch_gb_per_s = 1;
+  double price = 0, spot_price = 0;
+  double boot_s = 0;
   std::vector<std::string> zones;
 
-  double fetch_time_s(double gb) const { return gb / std::max(0.01, fetch_gb_per_s); }
+  double fetch_time_s(double gb) const {
+    constexpr double kSlowestGbPerS = 0.01;
+    return gb / std::max(kSlowestGbPerS, fetch_gb_per_s);
+  }
 };
 
 // Whether a type of that name is there: a second one would shift the indices of all that follow.
 inline bool has_type(const std::vector<MachineType>& types, const std::string& name) {
-  return std::any_of(types.begin(), types.end(), [&](const auto& t) { return t.name == name; });
+  return std::any_of(types.begin(), types.end(),
+                     [&](const auto& type) { return type.name == name; });
 }
 
+// What a team is guaranteed and what it may use at most. 0: no guarantee, no limit.
 struct TeamQuota {
   std::string name;
-  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // 0: no guarantee, no limit
+  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
 };
 
-// Why a report's task ended.
+// Why a task ended, as its worker says.
 enum class ExitCause : uint8_t {
   none,
   done,
@@ -113,35 +139,68 @@
   unknown_task
 };
 
-// What a worker says of a task.
+// An attempt by the names that workers know.
+struct AttemptRef {
+  std::string job;
+  uint32_t task = 0;
+  uint64_t attempt = 0;
+
+  auto operator<=>(const AttemptRef&) const = default;
+};
+
+// How far a worker is with a task, in order.
 enum class TaskPhase : uint8_t { fetching, gang_waiting, running, checkpointing, exited };
 
+// What a worker says of an attempt on its machine.
 struct TaskStatus {
   std::string job;
   uint32_t task = 0;
   uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::fetching;
   ExitCause cause = ExitCause::none;
-  bool saved = false;
+  bool saved = false;  // its progress, before it ended
+
+  bool is_of(const AttemptRef& ref) const {
+    return task == ref.task && attempt == ref.attempt && job == ref.job;
+  }
+  AttemptRef attempt_ref() const { return {job, task, attempt}; }
+};
+
+// Names a heartbeat among those of its machine; the later one compares greater.
+struct HeartbeatId {
+  uint64_t epoch = 0, seq = 0;
+
+  auto operator<=>(const HeartbeatId&) const = default;
 };
 
+// What a worker sends at every heartbeat interval, and with the answer to a direct command.
 struct Heartbeat {
   std::string machine, addr, type, zone;
   bool spot = false;
-  uint64_t epoch = 0, seq = 0, fencing_token = 0;
-  double notice_s = -1;  // negative: none
+  uint64_t epoch = 0;          // rises whenever the worker lost its lease or began anew
+  uint64_t seq = 0;            // rises within an epoch
+  uint64_t fencing_token = 0;  // the highest that the worker has seen
+  double notice_s = -1;        // until the cloud reclaims the machine; negative: no notice
   std::vector<TaskStatus> tasks;
+
+  HeartbeatId id() const { return {epoch, seq}; }
 };
 
+// start: run the attempt. stop: end it, saving its progress if there is time. forget: remove an
+// attempt that has exited from the list.
 enum class CommandKind : uint8_t { start, stop, forget };
+
 struct WorkerCommand {
   CommandKind verb = CommandKind::start;
   std::string job;
   uint32_t task = 0;
   uint64_t attempt = 0;
-  double grace_s = 0;
+  double grace_s = 0;  // of a stop: so long it may save
+
+  AttemptRef attempt_ref() const { return {job, task, attempt}; }
 };
 
+// A machine as the cloud lists it.
 struct ListedMachine {
   std::string name, addr, type, zone;
   bool spot = false;
--- a/src/placement/eligibility.cpp
+++ b/src/placement/eligibility.cpp
@@ -1,7 +1,6 @@
 #include "placement/eligibility.h"
 
 #include <algorithm>
-#include <tuple>
 
 namespace rookdyke {
 
@@ -27,7 +26,7 @@
   // It still lists an older attempt, which must not be cleared.
   const auto& unanswered = machine.unanswered_starts;
   if (std::any_of(unanswered.begin(), unanswered.end(),
-                  [&](const auto& start) { return std::get<0>(start) == job.spec.id; }))
+                  [&](const auto& start) { return start.job == job.spec.id; }))
     return false;
   return !job.failed_machines.count(machine.index) ||
          job.failed_machines.size() >= kMaxAvoidedMachines;
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -158,7 +158,7 @@
   if (!job.has_start_promise)
     for (const auto& [i, e] : m.images)
       if (i != job.image && catalog_.prompt_start_images.count(i))
-        s += kLeaveWarm * type.fetch_time_s(e.second);
+        s += kLeaveWarm * type.fetch_time_s(e.size_gb);
   const double filled = m.used.dominant_share(type.size);
   return s + kPackPreference * (1 - filled);
 }
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -27,7 +27,14 @@
       eligibility_(settings_, catalog_, machines_),
       replicas_(settings_, eligibility_, jobs_, machines_, lifecycle_),
       boot_tracker_(settings_, catalog_, machines_, now),
-      faults_(machines_) {
+      faults_(machines_),
+      images_(catalog_, machines_),
+      reconciler_(jobs_, lifecycle_, faults_, images_, start_permission_),
+      reclaim_notices_(jobs_, lifecycle_, replicas_),
+      heartbeats_(settings_, catalog_, claim_, machines_, jobs_, lifecycle_, boot_tracker_,
+                  reclaim_notices_, reconciler_),
+      direct_commands_(settings_, claim_, jobs_, machines_, pending_commands_, start_permission_,
+                       heartbeats_, reconciler_, now) {
   for (const MachineType& t : catalog_.types) {
     const double ahead =
         settings_.tuning.boot_window_s > 0 ? settings_.tuning.boot_window_s : t.boot_s;
@@ -52,6 +59,17 @@
   if (loader_.on_job_row(row, id, now)) needs_round_ = true;
 }
 
+HeartbeatReply Scheduler::on_heartbeat(const Heartbeat& report, double now) {
+  HeartbeatOutcome outcome = heartbeats_.on_heartbeat(report, now);
+  if (outcome.needs_round) needs_round_ = true;
+  return std::move(outcome.reply);
+}
+
+void Scheduler::on_direct_command_result(const DirectCommand& d, bool answered,
+                                         const std::optional<Heartbeat>& report, double now) {
+  if (direct_commands_.on_result(d, answered, report, now)) needs_round_ = true;
+}
+
 void Scheduler::round(double now) {
   if (claim_.is_lost()) return;
   needs_round_ = false;
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -43,8 +43,14 @@
 #include "scheduler/job_table.h"
 #include "scheduler/machine_table.h"
 #include "scheduler/task_lifecycle.h"
+#include "workers/direct_commands.h"
 #include "workers/fault_detector.h"
+#include "workers/heartbeat_handler.h"
+#include "workers/image_tracker.h"
 #include "workers/pending_commands.h"
+#include "workers/reclaim_notice_handler.h"
+#include "workers/start_permission.h"
+#include "workers/task_reconciler.h"
 
 namespace rookdyke {
 
@@ -58,8 +64,10 @@
   void load(const LedgerCache& ledger_cache, double now);
   // Which images machines hold, as far as is known: a hint for a successor, which would otherwise
   // have everything fetched anew. Nothing correct rests on it.
-  nlohmann::json image_locations() const;
-  void load_image_locations(const nlohmann::json& hints, double now);
+  nlohmann::json image_locations() const { return images_.image_locations(); }
+  void load_image_locations(const nlohmann::json& locations, double now) {
+    images_.load_image_locations(locations, now);
+  }
   // A job's row appeared or changed (users' submissions and aborts).
   void on_job_row(const CachedJob& row, const std::string& id, double now);
   void set_prices(const std::vector<MachineType>& types) { catalog_.set_prices(types); }
@@ -67,7 +75,9 @@
   HeartbeatReply on_heartbeat(const Heartbeat& report, double now);
 
   // Direct commands: starts that are durable, and stops, for one machine at a time.
-  std::optional<DirectCommand> next_direct_command(double now);
+  std::optional<DirectCommand> next_direct_command(double now) {
+    return direct_commands_.next(now);
+  }
   // answered: the worker executed (or refused) them and its report came back.
   void on_direct_command_result(const DirectCommand& d, bool answered,
                                 const std::optional<Heartbeat>& report, double now);
@@ -84,7 +94,7 @@
   void release_cancelled_work(double now);
   // Whether reports may be answered with starts: not by a leader that may not have heard of the
   // latest cancellations.
-  void allow_starts(bool allowed) { starts_allowed_ = allowed; }
+  void allow_starts(bool allowed) { start_permission_.allow_starts(allowed); }
 
   // Transactions: at most one in flight per chunk.
   // `room`: so many changes may be made at once; a single row always may.
@@ -147,20 +157,6 @@
   void settle_page(const InFlightTransaction& f, const ledger::Result& r, double now);
   void settle_closing(const InFlightTransaction& f, const ledger::Result& r);
 
-  // -- reports.cpp
-  void record_heartbeat(Machine& m, const Heartbeat& r, double now);
-  static void record_replica_run(Machine& m, Job& job, Attempt& a, double now);
-  void apply_task_status(Machine& m, Job& job, Attempt& a, const TaskStatus& t, double now);
-  using Listed = std::vector<std::pair<Index, uint32_t>>;
-  void apply_task_list(Machine& m, const Heartbeat& r, std::vector<WorkerCommand>* stop_commands,
-                       std::vector<WorkerCommand>* forget_commands, Listed& listed, double now);
-  void note_acknowledged_commands(Machine& m, const Heartbeat& r);
-  std::optional<DirectCommand> token_announcement(double now);
-  void commands_for(Machine& m, const Heartbeat& r, HeartbeatReply& reply, double now);
-  bool may_start(const Job& job, const Attempt& a) const;
-  void on_reclaim_notice(Machine& m, double notice_s, double now);
-  void touch_image(Machine& m, const Job& job, double now);
-
   // -- placement.cpp
   void place(double now);
   bool place_array(Job& job, double now, int& budget, bool warm_only);
@@ -263,11 +259,15 @@
   ReplicaMover replicas_;
   BootTracker boot_tracker_;
   FaultDetector faults_;
+  StartPermission start_permission_;
+  ImageTracker images_;
+  TaskReconciler reconciler_;
+  ReclaimNoticeHandler reclaim_notices_;
+  HeartbeatHandler heartbeats_;
+  DirectCommands direct_commands_;
 
-  double announce_token_at_ = 0;
   bool uses_lowered_limits_ = false;
   bool needs_round_ = false;
-  bool starts_allowed_ = true;
   bool mass_silence_ = false;
   double mass_silence_until_ = -1;
 
--- /dev/null
+++ b/src/workers/heartbeat_handler.cpp
@@ -0,0 +1,124 @@
+#include "workers/heartbeat_handler.h"
+
+#include <spdlog/spdlog.h>
+
+#include <cstddef>
+#include <string>
+
+namespace rookdyke {
+
+namespace {
+
+// In heartbeat intervals: heartbeats with an older token that arrive closer together count once.
+constexpr double kOlderTokenSpacing = 0.5;
+// In leases: a worker whose last heartbeat is younger was answered all along.
+constexpr double kAnsweredWithin = 0.6;
+
+}  // namespace
+
+bool HeartbeatHandler::detect_newer_leader(const Heartbeat& heartbeat) {
+  if (heartbeat.fencing_token <= claim_.fencing_token()) return false;
+  claim_.lose("a worker has seen token " + std::to_string(heartbeat.fencing_token));
+  return true;
+}
+
+HeartbeatOutcome HeartbeatHandler::on_heartbeat(const Heartbeat& heartbeat, double now) {
+  HeartbeatOutcome outcome;
+  if (detect_newer_leader(heartbeat)) {
+    outcome.reply.verdict = HeartbeatReply::Verdict::deposed;
+    return outcome;
+  }
+  Machine& machine = machines_.get_or_add(heartbeat.machine, now);
+  // A late heartbeat of a machine that has been returned.
+  if (machine.state == MachineState::terminated) return outcome;
+  if (machine.registered && heartbeat.id() <= machine.last_heartbeat_id()) {
+    // Held back on its way: its task list is as old as it is, and nobody receives the reply.
+    outcome.reply.verdict = HeartbeatReply::Verdict::outdated;
+    return outcome;
+  }
+  if (heartbeat.fencing_token < claim_.fencing_token()) {
+    record_older_token(machine, heartbeat, now);
+    return outcome;
+  }
+  detect_lost_replies(machine, heartbeat, now);
+  end_attempts_of_older_epochs(machine, heartbeat, now);
+  const size_t tasks_before = machine.tasks.size();
+  const bool was_registered = machine.registered;
+  record_heartbeat(machine, heartbeat, now);
+  machine.acknowledgement.on_heartbeat(heartbeat, machine.name);
+  if (heartbeat.notice_s >= 0) reclaim_notices_.on_reclaim_notice(machine, heartbeat.notice_s, now);
+  outcome.reply.commands = reconciler_.reconcile(machine, heartbeat, now);
+  machine.acknowledgement.on_commands_sent(outcome.reply.commands);
+  outcome.needs_round = !was_registered || machine.tasks.size() < tasks_before;
+  return outcome;
+}
+
+// Invariant 7: sent before its worker had seen our token, so perhaps long ago, and perhaps a copy.
+// It proves nothing, not even that the machine is up, and is answered with the token alone. A
+// worker that takes the token up sends its next heartbeat within half a second.
+void HeartbeatHandler::record_older_token(Machine& machine, const Heartbeat& heartbeat,
+                                          double now) const {
+  if (heartbeat.id() <= machine.older_token_last) return;
+  machine.older_token_last = heartbeat.id();
+  // Those that a network partition held back arrive all at once: they count for one.
+  if (machine.heartbeats_with_older_token == 0 ||
+      now - machine.older_token_at > kOlderTokenSpacing * settings_.heartbeat_interval_s) {
+    machine.older_token_at = now;
+    if (machine.heartbeats_with_older_token++ == 0) machine.older_token_since = now;
+  }
+  if (machine.addr.empty()) machine.addr = heartbeat.addr;
+}
+
+// A worker that lost its lease although its heartbeats were answered all along does not receive the
+// replies.
+void HeartbeatHandler::detect_lost_replies(Machine& machine, const Heartbeat& heartbeat,
+                                           double now) const {
+  if (!machine.registered || heartbeat.epoch <= machine.epoch) return;
+  if (now - machine.last_heartbeat < kAnsweredWithin * settings_.lease_s)
+    machine.acknowledgement.mark_unreachable();
+}
+
+// Invariant 3, "its tenure rose": the worker killed everything of earlier epochs.
+void HeartbeatHandler::end_attempts_of_older_epochs(const Machine& machine,
+                                                    const Heartbeat& heartbeat, double now) {
+  const auto tasks = machine.tasks;  // a copy: attempts that end leave the list
+  for (const auto& [job_index, task] : tasks) {
+    Job& job = jobs_[job_index];
+    const auto attempt = job.attempts.find(task);
+    if (attempt != job.attempts.end() && attempt->second.epoch < heartbeat.epoch)
+      lifecycle_.end(job, task, ExitCause::none, now, "the worker's epoch rose");
+  }
+}
+
+void HeartbeatHandler::record_heartbeat(Machine& machine, const Heartbeat& heartbeat, double now) {
+  if (!machine.registered) register_machine(machine, heartbeat, now);
+  machine.was_up = true;
+  machine.last_heartbeat = now;
+  if (machine.epoch != heartbeat.epoch) {
+    machine.unanswered_starts.clear();  // a direct command names the epoch it is for
+    machine.acknowledgement.on_new_epoch();
+  }
+  machine.epoch = heartbeat.epoch;
+  machine.seq = heartbeat.seq;
+  if (machine.state == MachineState::booting)
+    MachineTable::set_state(machine, MachineState::ready, "its worker reports");
+}
+
+void HeartbeatHandler::register_machine(Machine& machine, const Heartbeat& heartbeat, double now) {
+  machine.addr = heartbeat.addr;
+  // What the cloud's list said is not given up for a type that is not in the catalog.
+  const Index type = catalog_.type_names.find(heartbeat.type);
+  if (type != kNone || machine.type == kNone) {
+    machine.type = type;
+    machine.zone = catalog_.zones.intern(heartbeat.zone);
+    machine.spot = heartbeat.spot;
+  }
+  boot_tracker_.record_boot(machine, now);
+  machine.registered = true;
+  machine.heartbeats_with_older_token = 0;
+  machine.older_token_since = -1;
+  spdlog::debug("machine {}: first heartbeat, {:.1f} s after it was rented or first known",
+                machine.name, now - machine.rented_at);
+}
+
+}  // namespace rookdyke
