--- a/src/placement/placement_search.cpp
+++ b/src/placement/placement_search.cpp
@@ -75,7 +75,7 @@
   if (!job.has_start_promise)
     for (const auto& [image, held] : machine.images)
       if (image != job.image && catalog_.prompt_start_images.count(image))
-        score += kPromisedImagePenalty * type.fetch_time_s(held.second);
+        score += kPromisedImagePenalty * type.fetch_time_s(held.size_gb);
   const double filled = machine.used.dominant_share(type.size);
   return score + kPackingPreferenceS * (1 - filled);
 }
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -2,6 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
 #include <utility>
 
 namespace rookdyke {
@@ -16,7 +17,6 @@
     : settings_(std::move(settings)),
       catalog_(settings_, std::move(types)),
       claim_(fencing_token),
-      started_(now),
       rented_list_(settings_.lasting_value_bytes()),
       machines_(rented_list_),
       team_usage_(settings_, catalog_),
@@ -29,11 +29,17 @@
       replicas_(settings_, eligibility_, jobs_, machines_, lifecycle_),
       boot_tracker_(settings_, catalog_, machines_, now),
       faults_(machines_),
+      images_(catalog_, machines_),
+      reconciler_(jobs_, lifecycle_, faults_, images_, start_permission_),
+      reclaim_notices_(jobs_, lifecycle_, replicas_),
+      heartbeats_(settings_, catalog_, claim_, machines_, jobs_, lifecycle_, boot_tracker_,
+                  reclaim_notices_, reconciler_),
+      direct_commands_(settings_, claim_, jobs_, machines_, pending_commands_, start_permission_,
+                       heartbeats_, reconciler_, now),
       monitor_(settings_, catalog_, jobs_, machines_, boot_tracker_, replicas_, lifecycle_, now),
       demand_(settings_, catalog_, jobs_, machines_, now),
       cloud_requests_(settings_, catalog_, claim_, jobs_, machines_, lifecycle_, monitor_),
-      fleet_planner_(settings_, catalog_, demand_, monitor_, machines_, replicas_,
-                     cloud_requests_),
+      fleet_planner_(settings_, catalog_, demand_, monitor_, machines_, replicas_, cloud_requests_),
       placement_(settings_, catalog_, jobs_, machines_, team_usage_, lifecycle_, eligibility_,
                  work_) {}
 
@@ -64,6 +70,17 @@
   return n;
 }
 
+HeartbeatReply Scheduler::on_heartbeat(const Heartbeat& report, double now) {
+  HeartbeatOutcome outcome = heartbeats_.on_heartbeat(report, now);
+  if (outcome.needs_round) needs_round_ = true;
+  return std::move(outcome.reply);
+}
+
+void Scheduler::on_direct_command_result(const DirectCommand& d, bool answered,
+                                         const std::optional<Heartbeat>& report, double now) {
+  if (direct_commands_.on_result(d, answered, report, now)) needs_round_ = true;
+}
+
 void Scheduler::round(double now) {
   if (claim_.is_lost()) return;
   needs_round_ = false;
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -1,19 +1,25 @@
 #pragma once
-// The leader's mind: pure and single-threaded. Events go in (time, reports, job rows, transaction
-// results, machine lists), effects come out (transactions, rentals, returns, orders). It has no
-// sockets, clocks or randomness of its own, so scenarios drive it in simulated time.
+// The leader's scheduler: composes the parts that decide and passes events on to them. Events come
+// in (time, heartbeats, job rows, outcomes of transactions, machine lists), requests go out
+// (transactions, commands, rentals, returns). Pure and single-threaded: it has no sockets, clocks
+// or randomness of its own, so that scenarios drive it in simulated time. `now` is always the
+// steady clock of this process, in seconds.
 //
-// core.cpp          life of jobs, taking over from the ledger
-// reports.cpp       what a worker's report proves, and the orders it is answered with
-// states.cpp        the state machines' allowed steps
-
-#include <map>
+// Its parts, each with state of its own:
+//   JobTable, MachineTable, Catalog, TeamUsage, PageTable   tables
+//   TaskLifecycle, JobLoader          attempts from proposal to release; rows to jobs
+//   HeartbeatHandler, DirectCommands  what workers report, and what they are commanded
+//   MachineMonitor                    machines that are silent, late or to be given up
+//   DemandModel, FleetPlanner, CloudRequests   scale-out and scale-in
+//   Placement                         what runs where, preemption
+//   LedgerWriter                      what becomes durable, and when
+
+#include <cstddef>
+#include <cstdint>
 #include <memory>
+#include <nlohmann/json.hpp>
 #include <optional>
-#include <set>
 #include <string>
-#include <tuple>
-#include <unordered_map>
 #include <vector>
 
 #include "fleet/boot_tracker.h"
@@ -23,7 +29,6 @@
 #include "fleet/machine_monitor.h"
 #include "leadership/leadership_claim.h"
 #include "ledger/ledger_cache.h"
-#include "ledger/page.h"
 #include "ledger/page_table.h"
 #include "ledger/rented_list.h"
 #include "ledger/rows.h"
@@ -32,7 +37,6 @@
 #include "model/machine.h"
 #include "model/scheduler_messages.h"
 #include "model/settings.h"
-#include "model/states.h"
 #include "model/types.h"
 #include "placement/eligibility.h"
 #include "placement/placement.h"
@@ -44,8 +48,14 @@
 #include "scheduler/job_table.h"
 #include "scheduler/machine_table.h"
 #include "scheduler/task_lifecycle.h"
+#include "workers/direct_commands.h"
 #include "workers/fault_detector.h"
+#include "workers/heartbeat_handler.h"
+#include "workers/image_tracker.h"
 #include "workers/pending_commands.h"
+#include "workers/reclaim_notice_handler.h"
+#include "workers/start_permission.h"
+#include "workers/task_reconciler.h"
 
 namespace rookdyke {
 
@@ -59,33 +69,39 @@
   void load(const LedgerCache& ledger_cache, double now);
   // Which images machines hold, as far as is known: a hint for a successor, which would otherwise
   // have everything fetched anew. Nothing correct rests on it.
-  nlohmann::json image_locations() const;
-  void load_image_locations(const nlohmann::json& hints, double now);
+  nlohmann::json image_locations() const { return images_.image_locations(); }
+  void load_image_locations(const nlohmann::json& locations, double now) {
+    images_.load_image_locations(locations, now);
+  }
   // A job's row appeared or changed (users' submissions and aborts).
   void on_job_row(const CachedJob& row, const std::string& id, double now);
   void set_prices(const std::vector<MachineType>& types) { catalog_.set_prices(types); }
 
+  // A worker's heartbeat; the reply is for it alone.
   HeartbeatReply on_heartbeat(const Heartbeat& report, double now);
 
   // Direct commands: starts that are durable, and stops, for one machine at a time.
-  std::optional<DirectCommand> next_direct_command(double now);
-  // answered: the worker executed (or refused) them and its report came back.
+  std::optional<DirectCommand> next_direct_command(double now) {
+    return direct_commands_.next(now);
+  }
+  // `answered`: the worker executed or refused them, or they were never sent. `report`: the state
+  // of its tasks, if it came back.
   void on_direct_command_result(const DirectCommand& d, bool answered,
                                 const std::optional<Heartbeat>& report, double now);
   // Something happened that a round should look at soon.
   bool needs_round() const { return needs_round_; }
 
-  // This process stood still for so long: the machines' silence meanwhile was its own.
+  // This process did not run for so many seconds: the machines' silence meanwhile was its own.
   void on_process_stall(double s, double now) { monitor_.on_process_stall(s, now); }
 
   // One round of decisions.
   void round(double now);
-  // What a leader in doubt may still decide: machines that keep cancelled work go. It starts
-  // nothing.
+  // What a leader that could not renew its lease may still decide: machines that keep cancelled
+  // work are returned. It starts nothing.
   void release_cancelled_work(double now) { monitor_.release_cancelled_work(now); }
-  // Whether reports may be answered with starts: not by a leader that may not have heard of the
-  // latest cancellations.
-  void allow_starts(bool allowed) { starts_allowed_ = allowed; }
+  // Whether starts may be commanded: not by a leader that may not have heard of the latest
+  // cancellations.
+  void allow_starts(bool allowed) { start_permission_.allow_starts(allowed); }
 
   // Transactions: at most one in flight per chunk.
   // `room`: so many changes may be made at once; a single row always may.
@@ -115,11 +131,11 @@
   }
 
   uint64_t fencing_token() const { return claim_.fencing_token(); }
-  // A condition on the leader key failed, or the ledger contradicts us: stop leading.
   // The state service has lowered its limits to Settings::next_limits: what is larger is split.
   void apply_lowered_limits() { ledger_writer_.apply_lowered_limits(); }
   bool uses_lowered_limits() const { return ledger_writer_.uses_lowered_limits(); }
 
+  // A newer leader has acted, or the ledger contradicts us: stop leading.
   bool has_lost_leadership() const { return claim_.is_lost(); }
   // Most machines that reported to us have fallen silent: the silence is likely ours.
   bool receives_no_heartbeats(double now) const { return monitor_.receives_no_heartbeats(now); }
@@ -137,25 +153,9 @@
   const Job* find_job(const std::string& id) const;
 
  private:
-  // -- reports.cpp
-  void record_heartbeat(Machine& m, const Heartbeat& r, double now);
-  static void record_replica_run(Machine& m, Job& job, Attempt& a, double now);
-  void apply_task_status(Machine& m, Job& job, Attempt& a, const TaskStatus& t, double now);
-  using Listed = std::vector<std::pair<Index, uint32_t>>;
-  void apply_task_list(Machine& m, const Heartbeat& r, std::vector<WorkerCommand>* stop_commands,
-                       std::vector<WorkerCommand>* forget_commands, Listed& listed, double now);
-  void note_acknowledged_commands(Machine& m, const Heartbeat& r);
-  std::optional<DirectCommand> token_announcement(double now);
-  void commands_for(Machine& m, const Heartbeat& r, HeartbeatReply& reply, double now);
-  bool may_start(const Job& job, const Attempt& a) const;
-  void on_reclaim_notice(Machine& m, double notice_s, double now);
-  void touch_image(Machine& m, const Job& job, double now);
-
-
   const Settings settings_;
   Catalog catalog_;
   LeadershipClaim claim_;
-  const double started_;
   RentedList rented_list_;
   JobTable jobs_;
   MachineTable machines_;
@@ -169,18 +169,20 @@
   ReplicaMover replicas_;
   BootTracker boot_tracker_;
   FaultDetector faults_;
+  StartPermission start_permission_;
+  ImageTracker images_;
+  TaskReconciler reconciler_;
+  ReclaimNoticeHandler reclaim_notices_;
+  HeartbeatHandler heartbeats_;
+  DirectCommands direct_commands_;
   MachineMonitor monitor_;
   DemandModel demand_;
   CloudRequests cloud_requests_;
   FleetPlanner fleet_planner_;
-
-  double announce_token_at_ = 0;
-  bool needs_round_ = false;
-  bool starts_allowed_ = true;
-
   WorkCounters work_;
   Placement placement_;
 
+  bool needs_round_ = false;
 };
 
 }  // namespace rookdyke
