--- a/src/model/job.h
+++ b/src/model/job.h
@@ -39,6 +39,15 @@
   Index page = kNone;
 };
 
+// A job's place in the queue and its turn there. Written by placement alone.
+struct JobPlacement {
+  bool guaranteed = false;            // within its team's guarantee, as of this round
+  double urgency = 0;                 // as of this round, smallest first
+  double last_start = -1;             // a task of it was last placed, or its turn was over
+  uint32_t starvation_allowance = 0;  // a starved array's: tasks that it may still begin
+  double reserve_retry_at = 0;        // machines to reserve are looked for no earlier
+};
+
 struct Job {
   Index id = kNone;
   JobSpec spec;
@@ -61,15 +70,11 @@
   double stale_since = -1;              // its row changed under us: the watch has to bring it
   double share = 0;                     // of the smallest machine that a task takes
   std::vector<double> start_within;     // what its class is promised of starting
-  bool guaranteed = false;              // within its team's guarantee, as of this round
-  double urgency = 0;                   // as of this round, smallest first
   double missing_since = -1;            // a service's: a replica of it has last ended
-  double last_start = -1;               // a task of it was last placed, or its turn was over
-  uint32_t starvation_allowance = 0;    // a starved array's: tasks that it may still begin
+  JobPlacement placement;
   double cancelled_at = -1;
   double not_before = 0;            // back-off after errors of its own
   double retry_at = 0;              // after a refused transaction
-  double reserve_retry_at = 0;      // machines are looked for no earlier
   std::set<Index> failed_machines;  // machines where it failed since it last succeeded
   uint32_t errors = 0;
   uint32_t tasks() const { return spec.tasks; }
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -27,7 +27,9 @@
       eligibility_(settings_, catalog_, machines_),
       replicas_(settings_, eligibility_, jobs_, machines_, lifecycle_),
       boot_tracker_(settings_, catalog_, machines_, now),
-      faults_(machines_) {
+      faults_(machines_),
+      placement_(settings_, catalog_, jobs_, machines_, team_usage_, lifecycle_, eligibility_,
+                 work_) {
   for (const MachineType& t : catalog_.types) {
     const double ahead =
         settings_.tuning.boot_window_s > 0 ? settings_.tuning.boot_window_s : t.boot_s;
@@ -67,7 +69,7 @@
       claim_.lose("the row of job " + job->spec.id + " is not as we know it");
       return;
     }
-  place(now);
+  placement_.place(now, backlog());
   plan_fleet(now);
 }
 
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -6,8 +6,6 @@
 // core.cpp          life of jobs, taking over from the ledger
 // transactions.cpp  what is written to the ledger, and what its answers mean
 // reports.cpp       what a worker's report proves, and the orders it is answered with
-// services.cpp      replicas of services: where they go, and how they move
-// placement.cpp     what runs where, preemption
 // fleet.cpp         demand, renting, draining, returning
 // states.cpp        the state machines' allowed steps
 
@@ -36,7 +34,9 @@
 #include "model/states.h"
 #include "model/types.h"
 #include "placement/eligibility.h"
+#include "placement/placement.h"
 #include "placement/replica_mover.h"
+#include "placement/work_counters.h"
 #include "quota/team_usage.h"
 #include "scheduler/catalog.h"
 #include "scheduler/job_loader.h"
@@ -119,9 +119,7 @@
   Summary summary(double now) const;
   const std::vector<std::unique_ptr<Machine>>& machines() const { return machines_.all(); }
   // How much was done, for checks that it follows what changed and not the size of everything.
-  struct Work {
-    uint64_t rounds = 0, jobs_looked_at = 0, machines_looked_at = 0;
-  };
+  using Work = WorkCounters;
   const Work& work() const { return work_; }
   const Job* find_job(const std::string& id) const;
 
@@ -161,50 +159,6 @@
   void on_reclaim_notice(Machine& m, double notice_s, double now);
   void touch_image(Machine& m, const Job& job, double now);
 
-  // -- placement.cpp
-  void place(double now);
-  bool place_array(Job& job, double now, int& budget, bool warm_only);
-  bool place_gang(Job& job, double now, int& budget, bool warm_only);
-  bool needs_warm(const Job& job, double now) const;
-  struct Place {
-    double score = 0;
-    Index machine = kNone;
-    uint32_t slots = 0;
-  };
-  struct Eviction {
-    double cost = 0;
-    Index machine = kNone;
-    std::vector<std::pair<Index, uint32_t>> victims;
-  };
-  // special: the job itself, not the machines' room, may be why there are few.
-  std::vector<Place> places(const Job& job, double now, bool* special = nullptr,
-                            bool warm_only = false);
-  bool warm(const Job& job, const Machine& m) const;
-  void claim(const Job& job, const std::vector<Place>& free, double now);
-  void place_job(Job& job, double now, int& budget, bool preempt);
-  static bool lacks_what_it_takes(const Job& job, const Resources& room, const Job& victim);
-  std::vector<Eviction> evictions(const Job& job, double now);
-  void gather_open(double now);
-  bool has_room(const Machine& m) const;
-  bool known_full(const Job& job, uint32_t count) const;
-  double score(const Job& job, const Machine& m) const;
-  void preempt_for(Job& job, double now, bool warm_only);
-  bool may_stop(const Job& job, const Job& victim) const;
-  double frees_at(const Job& job, const Machine& m, double now) const;
-  void reserve_machines(Job& job, double now);
-  void find_guaranteed();
-  bool starved(const Job& job, double now) const;
-  uint32_t starved_share(const Job& job) const;
-  double urgency(const Job& job, double now) const;
-  void sort_jobs(double now);
-
-  // -- services.cpp
-  struct ReplicaCounts {
-    std::map<Index, uint32_t> by_machine, by_zone;
-  };
-  double replica_score(const Job& job, const Place& place, const ReplicaCounts& counts) const;
-  bool place_service(Job& job, double now, int& budget);
-
   // -- fleet.cpp
   // How many machines of a type a zone has, by (type, zone); those that are gone left out.
   using MachineCounts = std::map<std::pair<Index, Index>, size_t>;
@@ -271,32 +225,8 @@
   bool mass_silence_ = false;
   double mass_silence_until_ = -1;
 
-  std::vector<Index> order_;  // jobs with waiting tasks, most urgent first
-
-  // Of one round.
-  struct Full {  // no room for so many tasks of that size
-    Resources per_task;
-    Index zone;
-    std::vector<bool> types;
-    bool spot, single_zone;
-    uint32_t count;
-  };
-  struct Hopeless {  // nothing could be stopped for such a job
-    Priority priority;
-    Index zone;
-    std::vector<bool> types;
-    bool spot, single_zone;
-    uint32_t more;
-    double share;
-  };
-  std::vector<Index> open_;
-  std::vector<std::pair<Index, Resources>> claims_;  // places kept for gangs, counted as used
-  std::vector<Full> full_;
-  std::vector<Hopeless> hopeless_;
-  Resources least_;  // component by component, of the waiting tasks
-  size_t aside_ = 0, ready_ = 0;
-  double preempt_at_ = 0;
-  Work work_;
+  WorkCounters work_;
+  Placement placement_;
 
   uint64_t next_txn_ = 0, next_rental_number_ = 0;
   struct InFlightTransaction {
