--- a/src/fleet/cloud_requests.h
+++ b/src/fleet/cloud_requests.h
@@ -6,12 +6,12 @@
 // keeps its name until the cloud has answered it, so that repeating it is idempotent (invariant 4).
 // All times are seconds on the leader's clock.
 
-#include <compare>
 #include <cstdint>
 #include <deque>
 #include <map>
 #include <optional>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "fleet/machine_monitor.h"
@@ -32,7 +32,9 @@
 struct ZoneAndKind {
   Index zone = kNone;
   MachineKind kind = MachineKind::on_demand;
-  auto operator<=>(const ZoneAndKind&) const = default;
+  bool operator<(const ZoneAndKind& other) const {
+    return std::tie(zone, kind) < std::tie(other.zone, other.kind);
+  }
 };
 
 class CloudRequests {
--- a/src/fleet/demand_model.h
+++ b/src/fleet/demand_model.h
@@ -4,9 +4,9 @@
 // does not ensure. Owns the samples; sampled by the scheduler once a round, asked by fleet
 // planning. It changes neither jobs nor machines. Between two samples its answers stay the same.
 
-#include <compare>
 #include <cstddef>
 #include <map>
+#include <tuple>
 #include <vector>
 
 #include "fleet/forecast.h"
@@ -49,7 +49,9 @@
   struct TypeAndZone {
     Index type = kNone;
     Index zone = kNone;
-    auto operator<=>(const TypeAndZone&) const = default;
+    bool operator<(const TypeAndZone& other) const {
+      return std::tie(type, zone) < std::tie(other.type, other.zone);
+    }
   };
   // How many machines of a type a zone has; terminated ones are left out.
   using MachineCounts = std::map<TypeAndZone, size_t>;
--- a/src/fleet/scale_in_planner.h
+++ b/src/fleet/scale_in_planner.h
@@ -3,8 +3,8 @@
 // Owns the moment since when each type is above its target. Called by FleetPlanner once a round;
 // MachineMonitor returns the machines once they are empty.
 
-#include <compare>
 #include <map>
+#include <tuple>
 #include <vector>
 
 #include "fleet/capacity.h"
@@ -46,7 +46,9 @@
   struct Candidate {
     double cost = 0;  // in shares of a machine: what draining it would disturb
     Index machine = kNone;
-    auto operator<=>(const Candidate&) const = default;
+    bool operator<(const Candidate& other) const {
+      return std::tie(cost, machine) < std::tie(other.cost, other.machine);
+    }
   };
   void drain_surplus(Index type, double now);
   std::vector<Candidate> candidates(Index type, double now) const;
