--- a/src/ledger/ledger_cache.cpp
+++ b/src/ledger/ledger_cache.cpp
@@ -14,83 +14,110 @@
 }
 }  // namespace
 
+// Removes a page's chunks, except those that another page has taken over since.
+void LedgerCache::remove_chunks(uint32_t page_number, CachedPage& page) {
+  for (const ChunkReference& reference : page.chunks) {
+    const auto job = jobs_.find(reference.job);
+    if (job == jobs_.end()) continue;
+    const auto chunk = job->second.chunks.find(reference.key);
+    if (chunk != job->second.chunks.end() && chunk->second.page == page_number)
+      job->second.chunks.erase(chunk);
+  }
+  page.chunks.clear();
+}
+
 void LedgerCache::put_page(uint32_t n, const nlohmann::json& value, uint64_t version) {
   CachedPage& page = pages_[n];
   if (version <= page.version) return;
-  // Whoever writes it next has to know its version, also if it cannot be read: a leader whose write
-  // fails on it steps down, and so would all its successors.
+  // The version is kept of an unreadable page, too: a leader's write that is conditional on a wrong
+  // version fails, the leader steps down, and so would all its successors.
   page.version = version;
-  auto read = ledger::decode_page(value);
-  page.readable = read.has_value();
-  if (!read) {
+  auto decoded = ledger::decode_page(value);
+  page.readable = decoded.has_value();
+  if (!decoded) {
     spdlog::error("ledger: page {} cannot be read", n);
     return;
   }
-  for (const auto& [id, k] : page.holds) {
-    // Another page may have taken it over since.
-    auto job = jobs_.find(id);
-    if (job == jobs_.end()) continue;
-    if (auto c = job->second.chunks.find(k); c != job->second.chunks.end() && c->second.page == n)
-      job->second.chunks.erase(c);
-  }
-  page.holds.clear();
-  for (ledger::PageEntry& e : read->entries) {
-    ChunkKey key{e.n, std::nullopt};
-    if (e.range) key.range_first = e.range->first;
-    CachedChunk& chunk = jobs_[e.job].chunks[key];
-    // It was moved, and this page not written since (ledger/rows.h).
+  remove_chunks(n, page);
+  for (ledger::PageEntry& entry : decoded->entries) {
+    ChunkKey key{entry.n, std::nullopt};
+    if (entry.range) key.range_first = entry.range->first;
+    CachedChunk& chunk = jobs_[entry.job].chunks[key];
+    // It was moved to another page, and this one not written since (ledger/rows.h).
     if (chunk.page != n && chunk.version > version) continue;
-    chunk = {n, version, std::move(e.chunk), e.range};
-    page.holds.emplace_back(e.job, key);
+    chunk = {n, version, std::move(entry.chunk), entry.range};
+    page.chunks.push_back({entry.job, key});
   }
 }
 
+void LedgerCache::put_page_row(const std::string& key, const nlohmann::json& value,
+                               uint64_t version) {
+  const std::string_view number =
+      std::string_view(key).substr(std::string_view(ledger::kTaskPrefix).size());
+  uint32_t n = 0;
+  const char* end = number.data() + number.size();
+  const auto [parsed_to, error] = std::from_chars(number.data(), end, n);
+  if (error == std::errc() && parsed_to == end && n < ledger::kMostPages)
+    put_page(n, value, version);
+  else
+    spdlog::error("ledger: {} is no page", key);
+}
+
+void LedgerCache::put_job(const std::string& id, const nlohmann::json& value, uint64_t version) {
+  CachedJob& job = jobs_[id];
+  if (version <= job.version) return;
+  auto row = ledger::decode_job(id, value);
+  job.readable = row.has_value();
+  if (!row) {
+    spdlog::error("ledger: row {} cannot be read", ledger::job_key(id));
+    return;
+  }
+  job.version = version;
+  job.row = std::move(*row);
+  if (job.row.status == ledger::JobStatus::cancelled)
+    last_cancelled_ = std::max(last_cancelled_, version);
+}
+
+void LedgerCache::put_leader(const nlohmann::json& value, uint64_t version) {
+  if (version <= leader_version_) return;
+  leader_version_ = version;
+  const auto label = value.is_object() ? value.find("label") : value.end();
+  const bool readable = label != value.end() && label->is_string();
+  if (!readable) spdlog::error("ledger: the leader key cannot be read");
+  leader_ = readable ? label->get<std::string>() : "";
+}
+
+void LedgerCache::put_types(const nlohmann::json& value, uint64_t version) {
+  if (version <= types_version_) return;
+  types_version_ = version;
+  types_ = ledger::decode_types(value);
+  if (types_.empty()) spdlog::error("ledger: the machine types cannot be read");
+}
+
+void LedgerCache::put_fleet_row(const std::string& key, const nlohmann::json& value,
+                                uint64_t version) {
+  if (!ledger::fleet_row(key)) {
+    spdlog::error("ledger: {} is no row of the rented list", key);
+    return;
+  }
+  CachedFleetRow& row = fleet_[key];
+  if (version > row.version) row = {version, value};
+}
+
 void LedgerCache::put(const std::string& key, const nlohmann::json& value, uint64_t version) {
   if (reloading_) seen_.insert(key);
   if (starts_with(key, ledger::kJobPrefix)) {
-    const std::string id = key.substr(std::string_view(ledger::kJobPrefix).size());
-    CachedJob& job = jobs_[id];
-    if (version <= job.version) return;
-    auto row = ledger::decode_job(id, value);
-    job.readable = row.has_value();
-    if (!row) {
-      spdlog::error("ledger: row {} cannot be read", key);
-      return;
-    }
-    job.version = version;
-    job.row = std::move(*row);
-    if (job.row.status == ledger::JobStatus::cancelled)
-      last_cancelled_ = std::max(last_cancelled_, version);
+    put_job(key.substr(std::string_view(ledger::kJobPrefix).size()), value, version);
   } else if (starts_with(key, ledger::kTaskPrefix)) {
-    const std::string_view number =
-        std::string_view(key).substr(std::string_view(ledger::kTaskPrefix).size());
-    uint32_t n = 0;
-    auto [p, ec] = std::from_chars(number.data(), number.data() + number.size(), n);
-    if (ec == std::errc() && p == number.data() + number.size() && n < ledger::kMostPages)
-      put_page(n, value, version);
-    else
-      spdlog::error("ledger: {} is no page", key);
+    put_page_row(key, value, version);
   } else if (key == ledger::kLeaderKey) {
-    if (version <= leader_version_) return;
-    leader_version_ = version;
-    const auto label = value.is_object() ? value.find("label") : value.end();
-    const bool readable = label != value.end() && label->is_string();
-    if (!readable) spdlog::error("ledger: the leader key cannot be read");
-    leader_ = readable ? label->get<std::string>() : "";
+    put_leader(value, version);
   } else if (key == ledger::kReadToKey) {
     if (value.is_number_unsigned()) read_to_ = std::max(read_to_, value.get<uint64_t>());
   } else if (key == ledger::kTypesKey) {
-    if (version <= types_version_) return;
-    types_version_ = version;
-    types_ = ledger::decode_types(value);
-    if (types_.empty()) spdlog::error("ledger: the machine types cannot be read");
+    put_types(value, version);
   } else if (starts_with(key, ledger::kFleetPrefix)) {
-    if (!ledger::fleet_row(key)) {
-      spdlog::error("ledger: {} is no row of the rented list", key);
-      return;
-    }
-    auto& row = fleet_[key];
-    if (version > row.first) row = {version, value};
+    put_fleet_row(key, value, version);
   }
 }
 
@@ -101,9 +128,9 @@
     leader_version_ = version;
   } else if (starts_with(key, ledger::kFleetPrefix)) {
     auto it = fleet_.find(key);
-    if (it != fleet_.end() && it->second.first < version) fleet_.erase(it);
+    if (it != fleet_.end() && it->second.version < version) fleet_.erase(it);
   }
-  // Job rows are never deleted, since a final state must be kept, nor are pages.
+  // Job rows are never deleted, since final states must be kept; nor are pages.
 }
 
 void LedgerCache::begin_reload() {
@@ -142,7 +169,7 @@
     out.done += c.chunk.done.count();
     if (out.status == ledger::JobStatus::open) out.running += c.chunk.live.size();
   }
-  out.done = std::min(out.done, j->row.tasks);  // a page may name tasks that the job does not have
+  out.done = std::min(out.done, j->row.tasks);  // a page may hold tasks that the job lacks
   out.running = std::min(out.running, j->row.tasks);
   return out;
 }
--- a/src/ledger/rented_list.cpp
+++ b/src/ledger/rented_list.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-// The design's rented list is written at most this often (it has: at most every 2 s). Its rows cost
-// writes that starts wait for, and the cloud's list tells a new leader the same a little later.
-constexpr double kWriteInterval = 4;  // seconds
-// Nor is it put off for longer than this: a successor would count machines that are gone, and rent
-// none in their place until the cloud's list shows it.
-constexpr double kLongestDelay = 6;  // seconds
-constexpr size_t kNameBytes = 24;    // set aside in a row for a machine
-constexpr size_t kMostRows = 4;      // in a transaction: it is 64 KiB at most
+// The list is written at most this often (the design says: at most every 2 s). Its rows cost writes
+// that job starts wait for, and the cloud's list shows a new leader the same a little later.
+constexpr double kWriteIntervalS = 4;
+// A write is not postponed for longer than this: a successor would count machines that have been
+// returned, and rent no others until the cloud's list shows it.
+constexpr double kMaxDelayS = 6;
+constexpr size_t kNameBytes = 24;          // reserved in a row for a machine
+constexpr size_t kMaxTransactionRows = 4;  // a transaction has 64 KiB at most
 
 bool readable(const json& group) {
   return group.is_array() && group.size() >= 4 && group[0].is_string() && group[1].is_string() &&
@@ -53,8 +53,8 @@
   for (const auto& [key, row] : rows) {
     const auto number = ledger::fleet_row(key);
     if (!number) continue;
-    const auto& [revision, value] = row;
-    revisions_[key] = revision;
+    const json& value = row.value;
+    revisions_[key] = row.version;
     if (!value.is_object() || !value.contains("machines") || !value["machines"].is_array()) {
       spdlog::error("ledger: row {} cannot be read", key);
       unreadable_.insert(*number);
@@ -70,11 +70,11 @@
 
 bool RentedList::can_write(double now) const {
   if (changed_.empty() || in_flight_) return false;
-  return !written_at_ || now - *written_at_ >= kWriteInterval;
+  return !written_at_ || now - *written_at_ >= kWriteIntervalS;
 }
 
 bool RentedList::overdue(double now) const {
-  return !written_at_ || now - *written_at_ > kLongestDelay;
+  return !written_at_ || now - *written_at_ > kMaxDelayS;
 }
 
 json RentedList::encode_row(uint32_t row, const Lookup& machine, const NameTable& types,
@@ -96,8 +96,8 @@
                        ledger::Transaction& transaction) {
   in_flight_ = true;
   written_at_ = now;
-  const size_t most = std::min(transaction_rows, kMostRows);
-  while (!changed_.empty() && transaction.changes.size() < most) {
+  const size_t max_changes = std::min(transaction_rows, kMaxTransactionRows);
+  while (!changed_.empty() && transaction.changes.size() < max_changes) {
     const uint32_t row = *changed_.begin();
     changed_.erase(changed_.begin());
     if (unreadable_.count(row)) continue;
--- a/src/ledger/rented_list.h
+++ b/src/ledger/rented_list.h
@@ -1,7 +1,8 @@
 #pragma once
-// The list of rented machines that a leader keeps in the ledger for its successor. A machine's row
-// follows from its index, so that a change touches one row, and only changed rows are written.
-// Pure and single-threaded: told the time, like the scheduler.
+// The list of rented machines that a leader keeps in the ledger for its successor. Owned by the
+// scheduler. A machine's index determines its row, so that a change affects one row, and only
+// changed rows are written. Pure and single-threaded: all times are arguments, in seconds of a
+// steady clock.
 
 #include <functional>
 #include <map>
@@ -11,12 +12,13 @@
 #include <utility>
 #include <vector>
 
+#include "ledger/ledger_cache.h"
 #include "ledger/rows.h"
 #include "model/types.h"
 
 namespace rookdyke {
 
-// A machine as the list has it; a type that is not known any more is kNone.
+// A machine on the list; its type is kNone if the cloud does not offer it any more.
 struct RentedMachine {
   std::string name;
   Index type = kNone, zone = kNone;
@@ -25,32 +27,32 @@
 
 class RentedList {
  public:
-  // By row key: the row's revision and its value.
-  using Rows = std::map<std::string, std::pair<uint64_t, nlohmann::json>>;
+  // The list's rows in the ledger, by key.
+  using Rows = std::map<std::string, CachedFleetRow>;
   // The machine of that index; empty: there is none, or it does not belong on the list.
   using Lookup = std::function<std::optional<RentedMachine>(Index)>;
 
   // value_bytes: the most that the state service takes in one value.
   explicit RentedList(size_t value_bytes);
 
-  // Takes over the list as a predecessor left it. All its rows will be written anew. Entries that
-  // cannot be read are passed over; zones that are not known yet get an index.
+  // Reads the list that a predecessor wrote. All its rows count as changed. Entries that cannot be
+  // read are skipped; new zones get an index.
   std::vector<RentedMachine> load(const Rows& rows, const NameTable& types, NameTable& zones);
 
-  // What the list says of this machine has changed.
+  // What the list holds of this machine has changed.
   void mark_changed(Index machine);
 
-  // Whether a write may begin: there are changes, none is under way, and the last is long enough
-  // ago.
+  // Whether a write may begin: there are changes, no write is in flight, and the last one is long
+  // enough ago.
   bool can_write(double now) const;
-  // Whether the last write began so long ago that the next one goes before all else.
+  // Whether the last write began so long ago that the next one has priority over all other writes.
   bool overdue(double now) const;
-  // Begins a write: adds changed rows, as many as one transaction may take of at most
-  // transaction_rows, and their conditions. Only if can_write(now).
+  // Begins a write: adds changed rows and their conditions to a transaction of at most
+  // transaction_rows changes. Requires can_write(now).
   void write(double now, size_t transaction_rows, const Lookup& machine, const NameTable& types,
              const NameTable& zones, ledger::Transaction& transaction);
-  // The write that is under way has come to this outcome. Rows that were not written are changed
-  // still.
+  // The write in flight has ended with this result. Rows that were not written still count as
+  // changed.
   void on_result(const ledger::Transaction& transaction, const ledger::Result& result);
 
  private:
@@ -59,7 +61,7 @@
 
   uint32_t machines_per_row_;
   std::set<uint32_t> changed_;     // rows
-  std::set<uint32_t> unreadable_;  // rows that are never written
+  std::set<uint32_t> unreadable_;  // rows, never written
   std::map<std::string, uint64_t> revisions_;
   std::optional<double> written_at_;  // when the last write began
   bool in_flight_ = false;
--- a/src/net/write_share.h
+++ b/src/net/write_share.h
@@ -1,6 +1,7 @@
 #pragma once
-// How the changes a second that all replicas together may make are shared out: by demand, which the
-// replicas tell one another.
+// Divides the changes a second that all replicas together may make in the state service among them,
+// by demand. Each controller owns one; the replicas exchange their demands over the mesh, so all
+// arrive at about the same division.
 
 #include <map>
 #include <string>
@@ -8,40 +9,41 @@
 
 namespace rookdyke::net {
 
-// One replica's own demand, what its siblings last said of theirs, and the share that follows.
-// Pure: told the time in seconds of a steady clock. Not thread-safe: the owner locks.
+// One replica's own demand, the last reported demand of each sibling, and this replica's share.
+// Pure: all times are arguments, in seconds of a steady clock. Not thread-safe: the owner locks.
 class WriteShare {
  public:
   // `replicas` counts this one too; `writes_per_s` is the limit for all together.
   WriteShare(std::string label, std::vector<std::string> siblings, int replicas,
              double writes_per_s);
 
-  // This replica asked for `writes` changes since the last call; `backlog`: how many a leader has
-  // not yet asked for, 0 for others.
+  // This replica asked for `writes` changes since the last call; `backlog`: changes that a leader
+  // still has to make, 0 for followers.
   void record_own(double writes, double backlog, double now);
-  // Changes a second that this replica has use for, as it tells its siblings: up at once, down
-  // slowly.
+  // This replica's demand in changes a second, to be reported to its siblings. It rises at once and
+  // falls slowly.
   double own_demand() const { return own_demand_; }
-  // A sibling said how many changes a second it has use for. Ignored for any other label.
+  // A sibling reported its demand in changes a second. Ignored if the label is no sibling's.
   void record_sibling(const std::string& label, double demand, double now);
-  // How many siblings said so lately, so that they can be told things, too.
+  // How many siblings reported recently, and so can be reached.
   int reachable_siblings(double now) const;
 
-  // The limit for all together has become this.
+  // The limit for all replicas together has changed to this.
   void set_limit(double writes_per_s) { writes_per_s_ = writes_per_s; }
 
-  // This replica's share of all changes a second, 0 to 1, if that one leads (empty: unknown).
-  // Submissions, which the followers write, have what they asked for lately and half as much again,
-  // up to a part that depends on whether the leader has much to write; the leader has the rest.
+  // This replica's share of the limit, 0 to 1, if the replica of that label leads (empty: unknown).
+  // Followers, which write submissions, get one and a half times their recent demand, up to a
+  // maximum that is lower while the leader is busy; the leader gets the rest.
   double share(const std::string& leader, double now) const;
 
  private:
   struct Demand {
-    double writes = 0, at = -1e9;
+    double writes = 0;  // a second
+    double at = -1e9;   // when it was reported
   };
-  // A follower's share for that demand, before all are scaled to what followers may have together.
+  // A follower's share for that demand, before scaling to the maximum for all followers together.
   double follower_share(double demand) const;
-  // What a sibling last said; 0 if that is too long ago.
+  // A sibling's last reported demand; 0 if that is too long ago.
   double sibling_demand(const std::string& label, double now) const;
 
   const std::string label_;
@@ -49,7 +51,8 @@
   const int replicas_;
   double writes_per_s_;
   std::map<std::string, Demand> sibling_demands_;
-  double own_demand_ = 0, own_at_ = 0;
+  double own_demand_ = 0;
+  double own_at_ = 0;
 };
 
 }  // namespace rookdyke::net
