--- a/src/model/types.h
+++ b/src/model/types.h
@@ -4,10 +4,10 @@
 // them back into text. Plain data without owners; used by all modules.
 
 #include <algorithm>
-#include <compare>
 #include <cstddef>
 #include <cstdint>
 #include <string>
+#include <tuple>
 #include <unordered_map>
 #include <utility>
 #include <vector>
@@ -15,7 +15,7 @@
 namespace rookdyke {
 
 using Index = uint32_t;
-inline constexpr Index kNone = UINT32_MAX;  // no such thing
+inline constexpr Index kNone = UINT32_MAX;  // stands for no index
 
 // A table of names; an index is never reused within a process.
 class NameTable {
@@ -145,7 +145,9 @@
   uint32_t task = 0;
   uint64_t attempt = 0;
 
-  auto operator<=>(const AttemptRef&) const = default;
+  bool operator<(const AttemptRef& other) const {
+    return std::tie(job, task, attempt) < std::tie(other.job, other.task, other.attempt);
+  }
 };
 
 // How far a worker is with a task, in order.
@@ -158,7 +160,7 @@
   uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::fetching;
   ExitCause cause = ExitCause::none;
-  bool saved = false;  // its progress, before it ended
+  bool saved = false;  // whether its progress was saved before it ended
 
   bool is_of(const AttemptRef& ref) const {
     return task == ref.task && attempt == ref.attempt && job == ref.job;
@@ -166,11 +168,13 @@
   AttemptRef attempt_ref() const { return {job, task, attempt}; }
 };
 
-// Names a heartbeat among those of its machine; the later one compares greater.
+// Names a heartbeat among those of its machine.
 struct HeartbeatId {
   uint64_t epoch = 0, seq = 0;
 
-  auto operator<=>(const HeartbeatId&) const = default;
+  bool is_later_than(const HeartbeatId& other) const {
+    return std::tie(epoch, seq) > std::tie(other.epoch, other.seq);
+  }
 };
 
 // What a worker sends at every heartbeat interval, and with the answer to a direct command.
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -31,7 +31,7 @@
   Machine& machine = machines_.get_or_add(heartbeat.machine, now);
   // A late heartbeat of a machine that has been returned.
   if (machine.state == MachineState::terminated) return outcome;
-  if (machine.registered && heartbeat.id() <= machine.last_heartbeat_id()) {
+  if (machine.registered && !heartbeat.id().is_later_than(machine.last_heartbeat_id())) {
     // Held back on its way: its task list is as old as it is, and nobody receives the reply.
     outcome.reply.verdict = HeartbeatReply::Verdict::outdated;
     return outcome;
@@ -58,7 +58,7 @@
 // worker that takes the token up sends its next heartbeat within half a second.
 void HeartbeatHandler::record_older_token(Machine& machine, const Heartbeat& heartbeat,
                                           double now) const {
-  if (heartbeat.id() <= machine.older_token_last) return;
+  if (!heartbeat.id().is_later_than(machine.older_token_last)) return;
   machine.older_token_last = heartbeat.id();
   // Those that a network partition held back arrive all at once: they count for one.
   if (machine.heartbeats_with_older_token == 0 ||
--- a/src/workers/task_reconciler.h
+++ b/src/workers/task_reconciler.h
@@ -6,7 +6,9 @@
 //
 // Called by HeartbeatHandler and DirectCommands, which have checked that the list is current.
 
+#include <cstdint>
 #include <set>
+#include <tuple>
 #include <vector>
 
 #include "model/job.h"
@@ -37,7 +39,9 @@
   struct ListedTask {
     Index job = kNone;
     uint32_t task = 0;
-    auto operator<=>(const ListedTask&) const = default;
+    bool operator<(const ListedTask& other) const {
+      return std::tie(job, task) < std::tie(other.job, other.task);
+    }
   };
   // What a pass over the list found.
   struct Findings {
