--- a/tests/scenario/actions.cpp
+++ b/tests/scenario/actions.cpp
@@ -40,7 +40,7 @@
 }
 
 void crash(const Line& line, World& world) {
-  const std::string who = line.word(3);
+  const std::string& who = line.word(3);
   const double restart_s = line.option("for", kDefaultRestart);
   world.clock.at(event_time(line), [&world, who, restart_s] {
     if (who == "all")
@@ -51,7 +51,7 @@
 }
 
 void freeze(const Line& line, World& world) {
-  const std::string who = line.word(3);
+  const std::string& who = line.word(3);
   world.clock.at(event_time(line), [&world, who, s = duration(line)] {
     for (const size_t i : named_controllers(world, who))
       if (world.controllers[i]->alive) world.controllers[i]->freeze(s);
@@ -73,7 +73,8 @@
 }
 
 void cut(const Line& line, World& world) {
-  const std::string who = line.word(3), from = line.word(5);
+  const std::string& who = line.word(3);
+  const std::string& from = line.word(5);
   const double s = duration(line);
   const bool hold = line.has("hold");
   world.clock.at(event_time(line), [&world, who, from, s, hold] {
@@ -82,7 +83,7 @@
 }
 
 void refuse(const Line& line, World& world) {
-  const std::string who = line.word(3);
+  const std::string& who = line.word(3);
   world.clock.at(event_time(line), [&world, who, s = duration(line)] {
     for (const size_t i : named_controllers(world, who))
       world.network.refuse(controller_place(i), s);
@@ -150,7 +151,7 @@
 }
 
 void zone_cut(const Line& line, World& world) {
-  const std::string zone = line.word(3);
+  const std::string& zone = line.word(3);
   const auto& zones = world.settings.zones;
   if (std::find(zones.begin(), zones.end(), zone) == zones.end()) line.fail("no such zone");
   const double s = duration(line);
@@ -269,7 +270,7 @@
 
 void schedule(const Line& line, World& world) {
   using Action = void (*)(const Line&, World&);
-  static const std::map<std::string, Action> kActions = {
+  static const std::map<std::string, Action> actions = {
       {"submit", schedule_submission},
       {"stream", schedule_stream},
       {"abort", abort_job},
@@ -299,8 +300,8 @@
       {"sick", sicken},
       {"take", take},
   };
-  auto action = kActions.find(line.word(2));
-  if (action == kActions.end()) line.fail_unknown(line.word(2));
+  auto action = actions.find(line.word(2));
+  if (action == actions.end()) line.fail_unknown(line.word(2));
   action->second(line, world);
 }
 
--- a/tests/scenario/submissions.cpp
+++ b/tests/scenario/submissions.cpp
@@ -17,18 +17,18 @@
 };
 
 JobShape read_shape(const Line& line) {
-  static const std::map<std::string, JobShape> kShapes = {
+  static const std::map<std::string, JobShape> shapes = {
       {"array", JobShape::array}, {"gang", JobShape::gang}, {"service", JobShape::service}};
-  auto shape = kShapes.find(line.word(4));
-  if (shape == kShapes.end()) line.fail("no such shape");
+  auto shape = shapes.find(line.word(4));
+  if (shape == shapes.end()) line.fail("no such shape");
   return shape->second;
 }
 
 Priority read_priority(const Line& line) {
-  static const std::map<std::string, Priority> kPriorities = {
+  static const std::map<std::string, Priority> priorities = {
       {"idle", Priority::idle}, {"urgent", Priority::urgent}, {"critical", Priority::critical}};
-  auto priority = kPriorities.find(line.text_option("rank", ""));
-  return priority == kPriorities.end() ? Priority::standard : priority->second;
+  auto priority = priorities.find(line.text_option("rank", ""));
+  return priority == priorities.end() ? Priority::standard : priority->second;
 }
 
 JobSpec read_spec(const Line& line, const std::string& default_team) {
--- a/tests/simulation/controller_requests.cpp
+++ b/tests/simulation/controller_requests.cpp
@@ -27,7 +27,8 @@
 
 bool SimController::may_answer_workers() {
   const double now = world_.clock.now;
-  // As the daemon: one that hears neither siblings nor the state service lets its workers go.
+  // As the daemon: one that hears neither siblings nor the state service refuses its workers'
+  // heartbeats.
   if (world_.controllers.size() > 1 && now - heard_sibling_ > kIsolatedAfter &&
       now - heard_state_ > kIsolatedAfter)
     return false;
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <memory>
+#include <tuple>
 #include <utility>
 
 #include "simulation/world.h"
@@ -206,12 +207,13 @@
   struct Candidate {
     double left_s;
     std::string id;
-    auto operator<=>(const Candidate&) const = default;
   };
   std::vector<Candidate> longest;
   longest.reserve(running.size());
   for (const auto& [id, r] : running) longest.push_back({r.left_s, id});
-  std::sort(longest.rbegin(), longest.rend());
+  std::sort(longest.begin(), longest.end(), [](const Candidate& a, const Candidate& b) {
+    return std::tie(a.left_s, a.id) > std::tie(b.left_s, b.id);
+  });
   longest.resize(std::min(longest.size(), count));
   size_t may_hang = hang_s > 0 ? kMostHungMachines : 0;
   for (const Candidate& candidate : longest) {
--- a/tests/simulation/worker.h
+++ b/tests/simulation/worker.h
@@ -5,13 +5,13 @@
 //
 // worker.cpp holds the machine, its lease and its heartbeats, worker_tasks.cpp commands and tasks.
 
-#include <compare>
 #include <cstdint>
 #include <functional>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "model/types.h"
@@ -27,7 +27,9 @@
 struct TaskKey {
   std::string job;
   uint32_t task = 0;
-  auto operator<=>(const TaskKey&) const = default;
+  bool operator<(const TaskKey& other) const {
+    return std::tie(job, task) < std::tie(other.job, other.task);
+  }
 };
 
 // What a controller answers to a heartbeat.
@@ -55,7 +57,7 @@
   void boot();
   // The process is paused for `s` seconds.
   void hang(double s);
-  // The machine and all on it are gone.
+  // The machine ends with all its tasks, without any message.
   void vanish();
   // The cloud takes the machine back in `s` seconds, and says so.
   void notice(double s);
