--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -157,7 +157,7 @@
     reply(response, http_status::kUnprocessable, wire::refusal(*never));
     return std::nullopt;
   }
-  return std::move(spec);
+  return std::make_optional(std::move(spec));
 }
 
 ledger::JobRow UserApi::new_row(const JobSpec& spec, const std::string& transaction_id) const {
