--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -8,6 +8,7 @@
 #include <variant>
 
 #include "admission/admission.h"
+#include "api/http_reply.h"
 #include "net/http_status.h"
 #include "net/server.h"
 #include "net/steady_clock.h"
@@ -38,11 +39,6 @@
 constexpr const char* kUnreadable = "the job's row cannot be read";
 constexpr const char* kLeaderNotInformed = "the leader has not heard of the cancellation";
 
-void reply(httplib::Response& response, int status, const json& body) {
-  response.status = status;
-  response.set_content(wire::pack(body), wire::kContentType);
-}
-
 bool ends_with(const std::string& s, const std::string& end) {
   return s.size() >= end.size() && s.compare(s.size() - end.size(), end.size(), end) == 0;
 }
--- a/src/daemon/command_dispatcher.cpp
+++ b/src/daemon/command_dispatcher.cpp
@@ -66,11 +66,11 @@
   http.set_connection_timeout(kConnectTimeout);
   http.set_read_timeout(kTransferTimeout);
   http.set_write_timeout(kTransferTimeout);
-  const std::string body = wire::pack(wire::direct(work.fencing_token, work.command));
+  const std::string body = wire::pack(wire::direct_command(work.fencing_token, work.command));
   // Right before it goes out: this process may have been suspended, or have stepped down.
   if (!shared_.term_confirmed(work.fencing_token))
     return {.answered = true, .sent = false, .heartbeat = std::nullopt};
-  const auto response = http.Post(wire::kDirect, body, "application/msgpack");
+  const auto response = http.Post(wire::kDirectCommandPath, body, "application/msgpack");
   Result result;
   if (response) {
     // 409 and 400: nothing was executed, and nothing will be.
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -117,9 +117,9 @@
 
 void Controller::route(const httplib::Request& request, httplib::Response& response) {
   const std::string path = request.target.substr(0, request.target.find('?'));
-  if (path == wire::kReport && request.method == "POST")
+  if (path == wire::kHeartbeatPath && request.method == "POST")
     heartbeat_endpoint_.serve(request, response);
-  else if (path == wire::kHealth && request.method == "GET")
+  else if (path == wire::kHealthPath && request.method == "GET")
     health_endpoint_.serve(response);
   else
     user_api_.serve(request, response);
--- a/src/daemon/health_endpoint.cpp
+++ b/src/daemon/health_endpoint.cpp
@@ -1,6 +1,7 @@
 #include "daemon/health_endpoint.h"
 
-#include "daemon/http_reply.h"
+#include "api/http_reply.h"
+#include "net/http_status.h"
 #include "net/steady_clock.h"
 
 namespace rookdyke {
--- a/src/daemon/heartbeat_endpoint.cpp
+++ b/src/daemon/heartbeat_endpoint.cpp
@@ -5,7 +5,8 @@
 #include <string>
 #include <utility>
 
-#include "daemon/http_reply.h"
+#include "api/http_reply.h"
+#include "net/http_status.h"
 #include "net/steady_clock.h"
 #include "wire/wire.h"
 
@@ -75,7 +76,7 @@
     state.step_down(Role::follower, "a worker has seen a higher token");
     return std::nullopt;
   }
-  Answer answer{http_status::kOk, wire::report_answer(state.fencing_token(), out.commands)};
+  Answer answer{http_status::kOk, wire::heartbeat_reply(state.fencing_token(), out.commands)};
   return LeaderAnswer{std::move(answer), scheduler->needs_round()};
 }
 
--- a/src/daemon/mesh_endpoint.cpp
+++ b/src/daemon/mesh_endpoint.cpp
@@ -2,7 +2,8 @@
 
 #include <nlohmann/json.hpp>
 
-#include "daemon/http_reply.h"
+#include "api/http_reply.h"
+#include "net/http_status.h"
 #include "net/steady_clock.h"
 
 namespace rookdyke {
--- a/src/daemon/transaction_committer.cpp
+++ b/src/daemon/transaction_committer.cpp
@@ -36,8 +36,8 @@
   }
   std::optional<PendingTransaction> pending;
   if (state->may_decide(steady_now()))
-    pending = state->scheduler()->next_transaction(steady_now(),
-                                                   static_cast<size_t>(limiters_.writes.there()));
+    pending = state->scheduler()->next_transaction(
+        steady_now(), static_cast<size_t>(limiters_.writes.available()));
   if (!pending) {
     shared_.wait_for(state, shared_.wakeups().transactions, kIdleIntervalS);
     return std::nullopt;
--- a/src/fleet/cloud_requests.cpp
+++ b/src/fleet/cloud_requests.cpp
@@ -75,11 +75,11 @@
                                      const std::vector<std::string>& names, double now) {
   rental_in_flight_ = false;
   if (rental_requests_.empty() || rental_requests_.front().name != request.name) return;
-  const char* kind = request.spot ? "spot" : "ordinary";
+  const char* kind = request.spot ? "spot" : "on-demand";
   switch (outcome) {
     case CloudOutcome::done:
       add_rented(request, names, now);
-      spdlog::info("hired {} of {} {} {} machines in {}", names.size(), request.count, kind,
+      spdlog::info("rented {} of {} {} {} machines in {}", names.size(), request.count, kind,
                    request.type, request.zone);
       rental_requests_.pop_front();
       if (names.size() < static_cast<size_t>(request.count)) record_capacity_refusal(request, now);
--- a/src/fleet/scale_in_planner.cpp
+++ b/src/fleet/scale_in_planner.cpp
@@ -89,7 +89,7 @@
     replicas_move = replicas_move || with_replicas;
     capacity.remove(machine);
     --remaining;
-    MachineTable::drain(machine, now, "lull");
+    MachineTable::drain(machine, now, "scale in");
   }
 }
 
--- a/src/net/http_status.h
+++ b/src/net/http_status.h
@@ -11,6 +11,7 @@
 inline constexpr int kConflict = 409;
 inline constexpr int kGone = 410;
 inline constexpr int kPayloadTooLarge = 413;
+inline constexpr int kMisdirected = 421;  // with the leader's label, if it is known
 inline constexpr int kUnprocessable = 422;
 inline constexpr int kTooManyRequests = 429;
 inline constexpr int kInternalError = 500;
--- a/src/net/rate_limiter.h
+++ b/src/net/rate_limiter.h
@@ -49,7 +49,7 @@
     return level_ >= need ? 0 : (need - level_) / rate_;
   }
   // What is available now, rounded down to a whole number.
-  double there() {
+  double available() {
     std::lock_guard lock(mutex_);
     refill();
     return std::max(0.0, std::floor(level_));
--- a/src/wire/paths.h
+++ b/src/wire/paths.h
@@ -8,11 +8,11 @@
 inline constexpr const char* kJobsPath = "/v2/runs";
 inline constexpr const char* kCancelSuffix = "/abort";  // after a job's path
 // Served by a controller to the platform's health checks and to workers.
-inline constexpr const char* kHealth = "/healthz";
-inline constexpr const char* kReport = "/hello";  // heartbeats
+inline constexpr const char* kHealthPath = "/healthz";
+inline constexpr const char* kHeartbeatPath = "/hello";  // heartbeats
 
 // Served by workers: direct commands.
-inline constexpr const char* kDirect = "/do";
+inline constexpr const char* kDirectCommandPath = "/do";
 
 // Served by the cloud.
 inline constexpr const char* kMachineTypesPath = "/machine_types";
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -130,15 +130,15 @@
   return heartbeat;
 }
 
-json report_answer(uint64_t fencing_token, const std::vector<WorkerCommand>& commands) {
+json heartbeat_reply(uint64_t fencing_token, const std::vector<WorkerCommand>& commands) {
   json list = json::array();
   for (const WorkerCommand& command : commands) list.push_back(encode_command(command));
   return {{field::command::kFencingToken, fencing_token},
           {field::command::kCommands, std::move(list)}};
 }
 
-json direct(uint64_t fencing_token, const DirectCommand& command) {
-  json message = report_answer(fencing_token, command.commands);
+json direct_command(uint64_t fencing_token, const DirectCommand& command) {
+  json message = heartbeat_reply(fencing_token, command.commands);
   message[field::command::kEpoch] = command.epoch;
   return message;
 }
--- a/src/wire/worker_messages.h
+++ b/src/wire/worker_messages.h
@@ -19,9 +19,9 @@
 std::optional<Heartbeat> parse_heartbeat(const json& message);
 
 // The answer to a heartbeat that the leader accepted.
-json report_answer(uint64_t fencing_token, const std::vector<WorkerCommand>& commands);
+json heartbeat_reply(uint64_t fencing_token, const std::vector<WorkerCommand>& commands);
 // Commands that the leader sends without waiting for a heartbeat.
-json direct(uint64_t fencing_token, const DirectCommand& command);
+json direct_command(uint64_t fencing_token, const DirectCommand& command);
 // The answer to a heartbeat that reached a follower; an empty label: no leader is known.
 json redirect(const std::string& leader_label);
 
--- a/src/workers/reclaim_notice_handler.cpp
+++ b/src/workers/reclaim_notice_handler.cpp
@@ -11,7 +11,7 @@
     spdlog::info("machine {} will be reclaimed in {:.1f} s, {} tasks on it", machine.name, notice_s,
                  machine.tasks.size());
     machine.cordoned = true;
-    MachineTable::drain(machine, now, "notice");
+    MachineTable::drain(machine, now, "reclaim notice");
   }
   machine.reclaim_at = now + notice_s;
   for (const auto& [job_index, task] : machine.tasks) {
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -114,81 +114,94 @@
  private:
   void serve(const httplib::Request& q, httplib::Response& r) {
     std::lock_guard lock(mutex_);
-    const json in = body_of(q.body);
     const std::string path = q.target.substr(0, q.target.find('?'));
-    auto param = [&](const std::string& name) {
-      const size_t at = q.target.find(name + "=");
-      if (at == std::string::npos) return std::string();
-      const size_t from = at + name.size() + 1;
-      return q.target.substr(from, q.target.find('&', from) - from);
-    };
-    auto unescape = [](const std::string& s) { return httplib::detail::decode_url(s, false); };
     if (path == "/txn") ++asked_;
     if (outage_) return put(r, 503, {{"error", "down"}});
-    if (path == "/txn") {
-      ledger::Transaction t;
-      for (const json& c : in.at("if"))
-        t.conditions.push_back({c.at("k").get<std::string>(), c.at("stamp").get<uint64_t>()});
-      for (const json& c : in.at("then")) {
-        if (c.contains("delete"))
-          t.changes.push_back({c.at("delete").get<std::string>(), true, {}, 0});
-        else
-          t.changes.push_back(
-              {c.at("write").get<std::string>(), false, c.at("v"), c.value("tether", uint64_t{0})});
-      }
-      const Fate fate = fate_ ? fate_(t) : Fate{};
-      for (const ledger::Transaction& late : fate.before) store_.commit(late);
-      const auto res = fate.executed ? store_.commit(t) : ledger::Result{};
-      if (!fate.answered) return put(r, 200, json::object());
-      if (res.outcome == ledger::Outcome::applied)
-        put(r, 200, {{"ledger", res.revision}});
-      else if (res.outcome == ledger::Outcome::rejected)
-        put(r, 400, {{"error", "too large"}});
+    if (path == "/txn") return serve_transaction(body_of(q.body), r);
+    if (path == "/watch") return serve_watch(q, r);
+    if (path == "/keys") return serve_range(q, r);
+    if (path.rfind("/keys/", 0) == 0) return serve_key(path.substr(6), r);
+    if (path == "/leases") return put(r, 200, {{"tether", store_.grant(1e9)}});
+    if (path.rfind("/leases/", 0) == 0) return serve_lease(q, std::stoull(path.substr(8)), r);
+    put(r, 404, json::object());
+  }
+
+  // As it stands in the request's target; empty: it is missing.
+  static std::string parameter(const httplib::Request& q, const std::string& name) {
+    const size_t at = q.target.find(name + "=");
+    if (at == std::string::npos) return {};
+    const size_t from = at + name.size() + 1;
+    return q.target.substr(from, q.target.find('&', from) - from);
+  }
+
+  static ledger::Transaction transaction_of(const json& in) {
+    ledger::Transaction t;
+    for (const json& c : in.at("if"))
+      t.conditions.push_back({c.at("k").get<std::string>(), c.at("stamp").get<uint64_t>()});
+    for (const json& c : in.at("then")) {
+      if (c.contains("delete"))
+        t.changes.push_back({c.at("delete").get<std::string>(), true, {}, 0});
       else
-        put(r, 409, {{"failed", res.failed}, {"ledger", store_.revision}});
-    } else if (path == "/watch") {
-      ++watches_;
-      json log = json::array();
-      const auto changes = store_.since(std::stoull(param("after")));
-      longest_ = std::max(longest_, changes.size());
-      for (const auto& e : changes) {
-        if (e.erased)
-          log.push_back({{"delete", e.key}, {"stamp", e.version}});
-        else
-          log.push_back({{"write", e.key}, {"v", e.value}, {"stamp", e.version}});
-      }
-      put(r, 200, {{"ledger", store_.revision}, {"log", log}});
-    } else if (path == "/keys") {
-      ++ranges_;
-      json rows = json::array();
-      const size_t most = std::stoul(param("most"));
-      const auto all = store_.rows_after(unescape(param("after")));
-      for (const auto& [k, e] : all) {
-        if (rows.size() == most) break;
-        rows.push_back({{"k", k}, {"v", e.value}, {"stamp", e.version}});
-      }
-      const bool more = rows.size() < all.size();
-      put(r, 200, {{"rows", std::move(rows)}, {"truncated", more}, {"ledger", store_.revision}});
-    } else if (path.rfind("/keys/", 0) == 0) {
-      const auto* e = store_.get(path.substr(6));
-      if (e)
-        put(r, 200, {{"k", path.substr(6)}, {"v", e->value}, {"stamp", e->version}});
+        t.changes.push_back(
+            {c.at("write").get<std::string>(), false, c.at("v"), c.value("tether", uint64_t{0})});
+    }
+    return t;
+  }
+
+  void serve_transaction(const json& in, httplib::Response& r) {
+    const ledger::Transaction t = transaction_of(in);
+    const Fate fate = fate_ ? fate_(t) : Fate{};
+    for (const ledger::Transaction& late : fate.before) store_.commit(late);
+    const auto res = fate.executed ? store_.commit(t) : ledger::Result{};
+    if (!fate.answered) return put(r, 200, json::object());
+    if (res.outcome == ledger::Outcome::applied)
+      put(r, 200, {{"ledger", res.revision}});
+    else if (res.outcome == ledger::Outcome::rejected)
+      put(r, 400, {{"error", "too large"}});
+    else
+      put(r, 409, {{"failed", res.failed}, {"ledger", store_.revision}});
+  }
+
+  void serve_watch(const httplib::Request& q, httplib::Response& r) {
+    ++watches_;
+    json log = json::array();
+    const auto changes = store_.since(std::stoull(parameter(q, "after")));
+    longest_ = std::max(longest_, changes.size());
+    for (const auto& e : changes) {
+      if (e.erased)
+        log.push_back({{"delete", e.key}, {"stamp", e.version}});
       else
-        put(r, 404, {{"ledger", store_.revision}});
-    } else if (path == "/leases") {
-      put(r, 200, {{"tether", store_.grant(1e9)}});
-    } else if (path.rfind("/leases/", 0) == 0) {
-      const uint64_t id = std::stoull(path.substr(8));
-      if (q.method == "DELETE") {
-        ++leases_given_back_;
-        if (take_leases_back_) store_.drop(id);
-        put(r, 200, json::object());
-      } else {
-        put(r, store_.renew(id) ? 200 : 404, json::object());
-      }
-    } else {
-      put(r, 404, json::object());
+        log.push_back({{"write", e.key}, {"v", e.value}, {"stamp", e.version}});
+    }
+    put(r, 200, {{"ledger", store_.revision}, {"log", log}});
+  }
+
+  void serve_range(const httplib::Request& q, httplib::Response& r) {
+    ++ranges_;
+    json rows = json::array();
+    const size_t most = std::stoul(parameter(q, "most"));
+    const auto all = store_.rows_after(httplib::detail::decode_url(parameter(q, "after"), false));
+    for (const auto& [k, e] : all) {
+      if (rows.size() == most) break;
+      rows.push_back({{"k", k}, {"v", e.value}, {"stamp", e.version}});
     }
+    const bool more = rows.size() < all.size();
+    put(r, 200, {{"rows", std::move(rows)}, {"truncated", more}, {"ledger", store_.revision}});
+  }
+
+  void serve_key(const std::string& key, httplib::Response& r) {
+    const auto* e = store_.get(key);
+    if (e)
+      put(r, 200, {{"k", key}, {"v", e->value}, {"stamp", e->version}});
+    else
+      put(r, 404, {{"ledger", store_.revision}});
+  }
+
+  void serve_lease(const httplib::Request& q, uint64_t lease, httplib::Response& r) {
+    if (q.method != "DELETE") return put(r, store_.renew(lease) ? 200 : 404, json::object());
+    ++leases_given_back_;
+    if (take_leases_back_) store_.drop(lease);
+    put(r, 200, json::object());
   }
 
   std::mutex mutex_;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -232,7 +232,7 @@
 }
 
 TEST(Wire, WritesOrders) {
-  const json a = report_answer(7, {{CommandKind::stop, "wk-000001", 2, 3, 10}});
+  const json a = heartbeat_reply(7, {{CommandKind::stop, "wk-000001", 2, 3, 10}});
   EXPECT_EQ(a,
             json({{"warrant", 7},
                   {"orders",
@@ -275,13 +275,13 @@
   const std::vector<WorkerCommand> commands = {{CommandKind::start, "wk-000001", 0, 1, 5},
                                                {CommandKind::stop, "wk-000002", 7, 2, 10},
                                                {CommandKind::forget, "wk-000003", 99, 3, 0}};
-  expect_bytes(report_answer(41, commands),
+  expect_bytes(heartbeat_reply(41, commands),
                R"({"warrant":41,"orders":[{"verb":"run","shift":"wk-000001/0","go":1},
                    {"verb":"stop","shift":"wk-000002/7","go":2,"leave_s":10.0},
                    {"verb":"clear","shift":"wk-000003/99","go":3}]})");
   DirectCommand command;
   command.epoch = 6;
-  expect_bytes(direct(41, command), R"({"warrant":41,"tenure":6,"orders":[]})");
+  expect_bytes(direct_command(41, command), R"({"warrant":41,"tenure":6,"orders":[]})");
   expect_bytes(redirect("croft-2"), R"({"steward":"croft-2"})");
   expect_bytes(redirect(""), "{}");
 }
