--- a/src/placement/job_queue.cpp
+++ b/src/placement/job_queue.cpp
@@ -94,6 +94,7 @@
 void JobQueue::rebuild(double now) {
   find_guaranteed();
   std::vector<QueueEntry> entries;
+  entries.reserve(jobs_.count());
   smallest_request_ = {kUnlimited, kUnlimited, kUnlimited};
   for (const auto& job : jobs_) {
     if (!job || !may_start_now(*job, now)) continue;
@@ -103,7 +104,8 @@
         {starved, job->placement.guaranteed, job->spec.priority, job->placement.urgency, job->id});
     smallest_request_ = component_wise_min(smallest_request_, job->spec.per_task);
   }
-  std::sort(entries.begin(), entries.end(), goes_before);
+  std::sort(entries.begin(), entries.end(),
+            [](const QueueEntry& a, const QueueEntry& b) { return goes_before(a, b); });
   order_.clear();
   for (const QueueEntry& entry : entries) order_.push_back(entry.job);
 }
