--- a/src/fleet/boot_statistics.h
+++ b/src/fleet/boot_statistics.h
@@ -1,7 +1,7 @@
 #pragma once
-// How long the machines of one type have taken to boot recently, and what follows from it: from
-// when on a booting machine is late, and from when on it is taken for lost. Pure and
-// single-threaded: told the time, like the scheduler.
+// Boot times of the machines of one type in the recent past, and the thresholds derived from
+// them: the age at which a booting machine is late, and the age at which it is considered lost.
+// Without I/O, clock or locks; callers pass the time and serialize access.
 
 #include <cstddef>
 #include <deque>
@@ -10,40 +10,41 @@
 
 class BootStatistics {
  public:
-  // published_s: the type's boot time as the cloud states it.
-  // patience: the least age, in published boot times, at which a machine is taken for lost.
-  BootStatistics(double published_s, double patience);
+  // published_s: the type's boot time as published by the cloud.
+  // timeout_factor: the minimum boot timeout, as a multiple of the published boot time.
+  BootStatistics(double published_s, double timeout_factor);
 
-  // A machine that was rented took_s seconds ago has come up.
-  void record(double now, double took_s);
+  // Records that a machine has booted, boot_s seconds after it was rented.
+  void record(double now, double boot_s);
 
-  // Forgets old boots and works the figures below out anew; called once a round.
-  // overdue: how many machines are still booting at an age beyond overdue_after().
+  // Discards expired samples and recomputes the statistics; called once per scheduling round.
+  // overdue: the number of machines that are still booting beyond overdue_threshold_s().
   void update(double now, size_t overdue);
 
-  // The age at which a machine would be late if boots took the published time.
-  double overdue_after() const;
-  // The median of the recent boots, and never less than the published boot time.
-  double usual() const { return usual_s_; }
-  // From this age on most other machines would be up.
-  double late_after() const;
-  // From this age on a machine is given up: not just before others of its age come up.
-  double lost_after() const;
-  // Whether most of the machines that should have come up recently have not.
-  bool most_are_late() const { return most_are_late_; }
+  // Machine age beyond which a boot is late by the published boot time.
+  double overdue_threshold_s() const;
+  // Median of the recent boot times, but at least the published boot time.
+  double typical_boot_s() const { return typical_boot_s_; }
+  // Machine age beyond which a boot is late by the typical boot time: most machines are up by then.
+  double late_threshold_s() const;
+  // Machine age beyond which a booting machine is considered lost and returned. It leaves a margin
+  // over the longest recent boot, so that a machine is not returned just before it comes up.
+  double boot_timeout_s() const;
+  // Whether more machines are overdue than have booted recently.
+  bool most_are_overdue() const { return most_are_overdue_; }
 
  private:
   struct Boot {
     double up_at;
-    double took_s;
+    double boot_s;
   };
 
   double published_s_;
-  double patience_;
+  double timeout_factor_;
   std::deque<Boot> recent_;  // oldest first
-  double usual_s_;
-  double longest_s_ = 0;  // 0: no recent boot is known
-  bool most_are_late_ = false;
+  double typical_boot_s_;
+  double longest_boot_s_ = 0;  // 0: no recent boots
+  bool most_are_overdue_ = false;
 };
 
 }  // namespace rookdyke
--- a/src/fleet/boot_tracker.cpp
+++ b/src/fleet/boot_tracker.cpp
@@ -3,6 +3,7 @@
 namespace rookdyke {
 
 namespace {
+// Boot time assumed for a machine whose type is not known.
 constexpr double kUnknownTypeBootS = 60;
 }  // namespace
 
@@ -28,7 +29,7 @@
 bool BootTracker::is_overdue(const Machine& machine, double now) const {
   return machine.state == MachineState::booting && !machine.was_up && machine.type != kNone &&
          machine.rented_at > started_ &&
-         now - machine.rented_at > statistics_of(machine).overdue_after();
+         now - machine.rented_at > statistics_of(machine).overdue_threshold_s();
 }
 
 void BootTracker::update(double now) {
--- a/src/fleet/boot_tracker.h
+++ b/src/fleet/boot_tracker.h
@@ -1,6 +1,6 @@
 #pragma once
-// How long machines of each type take to boot, as the leader sees it: fed by heartbeats of machines
-// that come up, asked by whoever decides whether a booting machine still counts.
+// Boot statistics of each machine type, as observed by the leader. Fed with the first heartbeat of
+// every machine that it rents; used to decide whether a booting machine still counts as capacity.
 
 #include <vector>
 
@@ -14,16 +14,16 @@
 
 class BootTracker {
  public:
-  // `machines` must outlive this object. `started`: when this leader began; machines rented before
-  // tell nothing, for when they came up is not known.
+  // `machines` must outlive this object. `started`: when this leader took over; machines rented
+  // earlier are not sampled, since the time at which they came up is unknown.
   BootTracker(const Settings& settings, const Catalog& catalog, const MachineTable& machines,
               double started);
 
-  // The machine's worker has sent its first heartbeat.
+  // Records the first heartbeat of the machine's worker.
   void record_boot(const Machine& machine, double now);
-  // Works the statistics out anew; called once a round.
+  // Recomputes the statistics; called once per scheduling round.
   void update(double now);
-  // Of the machine's type; of a usual boot where the type is not known yet.
+  // The statistics of the machine's type; a default while its type is not known.
   const BootStatistics& statistics_of(const Machine& machine) const;
 
  private:
--- a/src/fleet/cloud_requests.cpp
+++ b/src/fleet/cloud_requests.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr double kMaxRentalCount = 50;   // machines in one request
-constexpr size_t kMaxReturnCount = 100;  // machines in one call
+constexpr size_t kMaxReturnCount = 100;  // machines in one return call
 constexpr double kReturnRetryS = 1;
-// In seconds beyond two list lags: a machine of that age is in every list.
-constexpr double kListMargin = 1;
+// Added to two list lags: every list contains the machines that are older than this sum.
+constexpr double kListMarginS = 1;
 
 MachineKind kind_of(const RentalRequest& request) {
   return request.spot ? MachineKind::spot : MachineKind::on_demand;
@@ -31,13 +31,13 @@
       machines_(machines),
       lifecycle_(lifecycle),
       monitor_(monitor),
-      refused_until_(catalog.types.size()) {}
+      no_capacity_until_(catalog.types.size()) {}
 
 // ---------------------------------------------------------------- rentals
 
 bool CloudRequests::lacks_capacity(Index type, const ZoneAndKind& place, double now) const {
-  const auto refused = refused_until_[type].find(place);
-  return refused != refused_until_[type].end() && now < refused->second;
+  const auto refused = no_capacity_until_[type].find(place);
+  return refused != no_capacity_until_[type].end() && now < refused->second;
 }
 
 std::vector<CloudRequests::PendingRental> CloudRequests::pending_rentals(Index type) const {
@@ -52,7 +52,7 @@
                                      double now) {
   if (lacks_capacity(type, place, now)) return false;
   RentalRequest request;
-  // Invariant 4: the token makes the name unique among leaders, the number within this one.
+  // Invariant 4: the fencing token makes the name unique among leaders, the number within this one.
   request.name =
       "h-" + std::to_string(claim_.fencing_token()) + "-" + std::to_string(++last_rental_number_);
   request.type = catalog_.types[type].name;
@@ -60,7 +60,7 @@
   request.spot = place.kind == MachineKind::spot;
   request.count = static_cast<int>(std::clamp(count, 1.0, kMaxRentalCount));
   rental_requests_.push_back(request);
-  request_at_ = now + settings_.tuning.rental_interval_s;
+  next_request_at_ = now + settings_.tuning.rental_interval_s;
   return true;
 }
 
@@ -79,18 +79,19 @@
   switch (outcome) {
     case CloudOutcome::done:
       add_rented(request, names, now);
-      spdlog::info("rented {} of {} {} {} machines in {}", names.size(), request.count, kind,
-                   request.type, request.zone);
+      spdlog::info("rented {} of {} requested {} {} machines in {}", names.size(), request.count,
+                   kind, request.type, request.zone);
       rental_requests_.pop_front();
-      if (names.size() < static_cast<size_t>(request.count)) record_capacity_refusal(request, now);
+      if (names.size() < static_cast<size_t>(request.count)) record_no_capacity(request, now);
       break;
     case CloudOutcome::no_capacity:
-      spdlog::info("no {} {} machines in {}", kind, request.type, request.zone);
+      spdlog::info("cloud has no capacity for {} {} machines in {}", kind, request.type,
+                   request.zone);
       rental_requests_.pop_front();
-      record_capacity_refusal(request, now);
+      record_no_capacity(request, now);
       break;
     case CloudOutcome::refused:
-      // Not executed. A copy of it may be under way from an earlier try, so it keeps its name.
+      // Not executed, but a copy from an earlier try may still be in flight: it keeps its name.
     case CloudOutcome::unknown:
       retry_at_ = now + settings_.tuning.rental_interval_s;
       break;
@@ -110,11 +111,11 @@
   }
 }
 
-void CloudRequests::record_capacity_refusal(const RentalRequest& request, double now) {
+void CloudRequests::record_no_capacity(const RentalRequest& request, double now) {
   const Index type = catalog_.type_names.find(request.type);
   if (type == kNone) return;
   const ZoneAndKind place{catalog_.zones.intern(request.zone), kind_of(request)};
-  refused_until_[type][place] = now + settings_.tuning.capacity_retry_s;
+  no_capacity_until_[type][place] = now + settings_.tuning.capacity_retry_s;
 }
 
 // ---------------------------------------------------------------- returns
@@ -126,7 +127,7 @@
     if (machine->state != MachineState::terminating || machine->returning ||
         now < machine->return_after)
       continue;
-    if (cancelled_only && !monitor_.holds_cancelled(*machine)) continue;
+    if (cancelled_only && !monitor_.holds_cancelled_tasks(*machine)) continue;
     machine->returning = true;
     names.push_back(machine->name);
     if (names.size() == kMaxReturnCount) break;
@@ -142,17 +143,17 @@
     Machine& machine = machines_[index];
     machine.returning = false;
     if (outcome == CloudOutcome::done)
-      on_returned(machine, now);
+      mark_returned(machine, now);
     else
       machine.return_after = now + kReturnRetryS;
   }
 }
 
-// Invariant 3: the cloud's answer is proof that nothing runs there any more.
-void CloudRequests::on_returned(Machine& machine, double now) {
+// Invariant 3: the cloud's response proves that nothing runs on the machine any more.
+void CloudRequests::mark_returned(Machine& machine, double now) {
   constexpr const char* kReason = "returned";
   if (!MachineTable::set_state(machine, MachineState::terminated, kReason)) return;
-  const auto tasks = machine.tasks;  // a copy: each end removes its entry
+  const auto tasks = machine.tasks;  // a copy, since end() removes the entry
   for (const auto& [job, task] : tasks)
     lifecycle_.end(jobs_[job], task, ExitCause::none, now, kReason);
   machines_.mark_changed(machine);
@@ -173,27 +174,28 @@
   if (!machine.registered) machine.rented_at = std::min(machine.rented_at, now - listed.age_s);
   if (listed.state == ListedMachine::State::running && !machine.registered && !machine.was_up) {
     machine.was_up = true;
-    machine.last_heartbeat = now;  // its silence counts from here on, not since it was rented
+    machine.last_heartbeat = now;  // the heartbeat timeout starts now, not when it was rented
   }
   if (listed.state == ListedMachine::State::failed && machine.state != MachineState::terminating)
-    MachineTable::terminate(machine, "failed");
+    MachineTable::terminate(machine, "reported as failed by the cloud");
 }
 
-void CloudRequests::on_machine_list(const std::vector<ListedMachine>& list, double asked,
+void CloudRequests::on_machine_list(const std::vector<ListedMachine>& list, double requested_at,
                                     double now) {
   std::set<Index> listed_machines;
   for (const ListedMachine& listed : list) {
     Machine& machine = machines_.get_or_add(listed.name, now);
     listed_machines.insert(machine.index);
-    if (machine.state == MachineState::terminated) continue;  // the list lags
+    if (machine.state == MachineState::terminated) continue;  // the list is older than the return
     update_from_list(machine, listed, now);
   }
   for (const auto& machine : machines_) {
     if (machine->state == MachineState::terminated || listed_machines.count(machine->index))
       continue;
-    // A list may be older than the one before it: an absence counts only when the machine was
-    // listed before, or is older than any list can lag.
-    const bool in_every_list = asked - machine->rented_at > 2 * settings_.list_lag_s + kListMargin;
+    // A list may be older than the previous one. A machine's absence counts only if the machine was
+    // listed before, or if it is older than any list can lag.
+    const bool in_every_list =
+        requested_at - machine->rented_at > 2 * settings_.list_lag_s + kListMarginS;
     if ((machine->listed || in_every_list) && machine->unlisted_at < 0) machine->unlisted_at = now;
   }
 }
--- a/src/fleet/cloud_requests.h
+++ b/src/fleet/cloud_requests.h
@@ -1,10 +1,10 @@
 #pragma once
-// What the leader asks of the cloud and what it makes of the answers: rentals, returns, and
-// reconciliation with the cloud's list of machines. Owns the queue of rental requests and the
-// memory of where the cloud lately had no capacity. Filled by ScaleOutPlanner; emptied by the
-// daemon, which sends the calls (at most one rental at a time) and reports their outcome. A request
-// keeps its name until the cloud has answered it, so that repeating it is idempotent (invariant 4).
-// All times are seconds on the leader's clock.
+// The leader's requests to the cloud and the handling of the responses: rentals, returns, and
+// reconciliation with the cloud's list of machines. Owns the queue of rental requests and a record
+// of the places where the cloud had no capacity recently. ScaleOutPlanner queues requests; the
+// daemon sends them (at most one rental at a time) and reports their outcome. A request keeps its
+// name until the cloud has responded, so that repeating it is idempotent (invariant 4). All times
+// are seconds on the leader's steady clock.
 
 #include <cstdint>
 #include <deque>
@@ -28,7 +28,7 @@
 
 enum class MachineKind : uint8_t { on_demand, spot };
 
-// Where capacity is asked for.
+// Zone and kind of the machines in a rental request.
 struct ZoneAndKind {
   Index zone = kNone;
   MachineKind kind = MachineKind::on_demand;
@@ -39,46 +39,46 @@
 
 class CloudRequests {
  public:
-  // A rental request without an answer so far.
+  // A rental request that the cloud has not responded to yet.
   struct PendingRental {
     ZoneAndKind place;
     int count = 0;
   };
 
-  // All must outlive this object.
+  // All references must outlive this object.
   CloudRequests(const Settings& settings, Catalog& catalog, const LeadershipClaim& claim,
                 JobTable& jobs, MachineTable& machines, TaskLifecycle& lifecycle,
                 const MachineMonitor& monitor);
 
-  // Queues a request for `count` machines, at least one and at most as many as one call may name.
-  // False: the place lately had no capacity.
+  // Queues a request for `count` machines, clamped to the range that one request may ask for.
+  // Returns false, and queues nothing, while lacks_capacity() holds for the place.
   bool request_machines(Index type, const ZoneAndKind& place, double count, double now);
-  // Whether the rental interval has passed since the last request of any type.
-  bool may_request(double now) const { return now >= request_at_; }
-  // Whether the cloud lately had no capacity there for the type.
+  // Whether the rental interval has passed since a request for any type was last queued.
+  bool may_request(double now) const { return now >= next_request_at_; }
+  // Whether the cloud reported a lack of capacity there within the capacity retry interval.
   bool lacks_capacity(Index type, const ZoneAndKind& place, double now) const;
-  // Of one type, oldest first.
+  // The pending rentals of one type, oldest first.
   std::vector<PendingRental> pending_rentals(Index type) const;
 
-  // The request to send now, which stays queued until on_rental_result(); empty: none.
+  // The request to send now, if any. It stays queued until on_rental_result() settles it.
   std::optional<RentalRequest> next_rental_request(double now);
-  // `names`: of the machines that were rented.
+  // `names`: the machines that were rented.
   void on_rental_result(const RentalRequest& request, CloudOutcome outcome,
                         const std::vector<std::string>& names, double now);
 
-  // The names of machines to return now, with one call. `cancelled_only`: those that hold work of
-  // cancelled jobs.
+  // The names of the machines to return now, in one call. `cancelled_only`: only machines that may
+  // run tasks of cancelled jobs.
   std::vector<std::string> next_return(double now, bool cancelled_only);
   void on_return(const std::vector<std::string>& names, CloudOutcome outcome, double now);
 
-  // The cloud's list of machines, asked for at `asked`: takes over machines that are not known and
-  // notes those that are not listed.
-  void on_machine_list(const std::vector<ListedMachine>& list, double asked, double now);
+  // Reconciles the machine table with the cloud's list of machines: adds unknown machines and marks
+  // those that are not listed. `requested_at`: when the list was requested.
+  void on_machine_list(const std::vector<ListedMachine>& list, double requested_at, double now);
 
  private:
   void add_rented(const RentalRequest& request, const std::vector<std::string>& names, double now);
-  void record_capacity_refusal(const RentalRequest& request, double now);
-  void on_returned(Machine& machine, double now);
+  void record_no_capacity(const RentalRequest& request, double now);
+  void mark_returned(Machine& machine, double now);
   void update_from_list(Machine& machine, const ListedMachine& listed, double now);
 
   const Settings& settings_;
@@ -89,12 +89,12 @@
   TaskLifecycle& lifecycle_;
   const MachineMonitor& monitor_;
 
-  std::deque<RentalRequest> rental_requests_;  // unanswered, oldest first
+  std::deque<RentalRequest> rental_requests_;  // without a response, oldest first
   bool rental_in_flight_ = false;
   uint64_t last_rental_number_ = 0;
-  double request_at_ = 0;                                     // no request is queued earlier
-  double retry_at_ = 0;                                       // none is sent earlier
-  std::vector<std::map<ZoneAndKind, double>> refused_until_;  // by type
+  double next_request_at_ = 0;  // earliest time at which a request may be queued
+  double retry_at_ = 0;         // earliest time at which a request may be sent
+  std::vector<std::map<ZoneAndKind, double>> no_capacity_until_;  // by type
 };
 
 }  // namespace rookdyke
--- a/src/fleet/demand_model.cpp
+++ b/src/fleet/demand_model.cpp
@@ -16,17 +16,21 @@
 
 DemandModel::DemandModel(const Settings& settings, const Catalog& catalog, const JobTable& jobs,
                          const MachineTable& machines, double now)
-    : settings_(settings), catalog_(catalog), jobs_(jobs), machines_(machines), next_sample_(now) {
+    : settings_(settings),
+      catalog_(catalog),
+      jobs_(jobs),
+      machines_(machines),
+      next_sample_at_(now) {
   for (const MachineType& type : catalog.types) {
-    const double ahead =
+    const double horizon_s =
         settings.tuning.boot_window_s > 0 ? settings.tuning.boot_window_s : type.boot_s;
-    by_type_.push_back({Forecast(settings.tuning, ahead), 0, {}, {}, {}});
+    by_type_.push_back({Forecast(settings.tuning, horizon_s), 0, {}, {}, {}});
   }
 }
 
-// ---------------------------------------------------------------- what follows from the samples
+// ---------------------------------------------------------------- results
 
-double DemandModel::machines_for(Index type, const Resources& demand) const {
+double DemandModel::machines_needed(Index type, const Resources& demand) const {
   const Resources size = catalog_.types[type].size.scaled(settings_.tuning.safe_fraction);
   return std::ceil(demand.dominant_share(size) - kRoundingSlack);
 }
@@ -38,14 +42,15 @@
 }
 
 double DemandModel::on_demand_floor(Index type) const {
-  return machines_for(type, by_type_[type].on_demand);
+  return machines_needed(type, by_type_[type].on_demand);
 }
 
 std::map<Index, ZoneFloor> DemandModel::zone_floors(Index type) const {
   std::map<Index, ZoneFloor> floors;
   for (const auto& [zone, demand] : by_type_[type].by_zone) {
-    floors[zone] = {std::max(demand.largest, machines_for(type, demand.all)),
-                    std::max(demand.largest_on_demand, machines_for(type, demand.on_demand))};
+    floors[zone] = {
+        std::max(demand.largest_job, machines_needed(type, demand.all)),
+        std::max(demand.largest_on_demand_job, machines_needed(type, demand.on_demand))};
   }
   return floors;
 }
@@ -58,7 +63,7 @@
 
 // ---------------------------------------------------------------- demand of one job
 
-// Whether a task of the job could run on machines of that type, by size and zone.
+// Whether a task of the job could run on machines of the type, by size and zone.
 bool DemandModel::could_run_on(const Job& job, Index type) const {
   if (!job.types.empty() && !job.types[type]) return false;
   if (!job.spec.per_task.fits_in(catalog_.types[type].size)) return false;
@@ -67,7 +72,8 @@
          std::find(zones.begin(), zones.end(), job.spec.zone) != zones.end();
 }
 
-// The type whose machines a job's demand is counted for: the cheapest share of a machine.
+// The machine type that a job's demand is counted for: the one on which a task costs least, by its
+// share of the machine.
 Index DemandModel::cheapest_type(const Job& job) const {
   Index best = kNone;
   double best_price = 0;
@@ -84,10 +90,10 @@
   return best;
 }
 
-// What a team's limit keeps from running is no demand for machines. `team_sums`: the demand that
-// was counted for each team so far.
-Resources DemandModel::within_team_limits(const Job& job, Resources demand,
-                                          std::vector<Resources>& team_sums) const {
+// Reduces a job's demand to what its team's limits allow to run. `team_sums`: the demand counted
+// for each team so far.
+Resources DemandModel::limit_to_team_quota(const Job& job, Resources demand,
+                                           std::vector<Resources>& team_sums) const {
   for (const TeamQuota& team : settings_.teams) {
     if (team.name != job.spec.team) continue;
     Resources& sum = team_sums[job.team];
@@ -113,7 +119,8 @@
   return counts;
 }
 
-// Where most machines of the type are; of equal zones the type's first, then the lowest index.
+// The zone with the most machines of the type. Ties go to the type's first zone, then to the lowest
+// index.
 Index DemandModel::largest_zone(Index type, const MachineCounts& machines) const {
   Index best = catalog_.zones.find(catalog_.types[type].zones.front());
   const auto first = machines.find({type, best});
@@ -127,28 +134,32 @@
   return best;
 }
 
-// Of jobs that could run elsewhere too, the zone keeps room for the largest: the others have their
-// turn after it.
-void DemandModel::reserve_in_zone(const Job& job, Index type, Index zone, const Resources& demand) {
-  if (zone == kNone) return;  // of a predecessor's machine that was not listed yet
-  const double machines = machines_for(type, demand);
+// Raises the zone's floor to a job that needs machines there without being bound to the zone. Only
+// the largest such job counts, since the others can run after it.
+void DemandModel::record_largest_in_zone(const Job& job, Index type, Index zone,
+                                         const Resources& demand) {
+  if (zone == kNone) return;  // the zone of a predecessor's machine is unknown until it is listed
+  const double machines = machines_needed(type, demand);
   ZoneDemand& in_zone = by_type_[type].by_zone[zone];
-  in_zone.largest = std::max(in_zone.largest, machines);
-  if (!job.spec.spot) in_zone.largest_on_demand = std::max(in_zone.largest_on_demand, machines);
+  in_zone.largest_job = std::max(in_zone.largest_job, machines);
+  if (!job.spec.spot)
+    in_zone.largest_on_demand_job = std::max(in_zone.largest_on_demand_job, machines);
 }
 
-// The job goes on where its tasks are, or else where most machines are.
+// A single-zone job needs machines in the zone of its attempts; without any, it is counted for the
+// zone with the most machines.
 void DemandModel::add_single_zone_demand(const Job& job, Index type, const Resources& demand,
                                          const MachineCounts& machines) {
   for (const auto& [task, attempt] : job.attempts)
     if (attempt.state != AttemptState::ended)
-      return reserve_in_zone(job, type, machines_[attempt.machine].zone, demand.scaled(1));
+      return record_largest_in_zone(job, type, machines_[attempt.machine].zone, demand.scaled(1));
   const double share = job.is_gang() ? 1 : 1.0 / job.tasks();
-  reserve_in_zone(job, type, largest_zone(type, machines), demand.scaled(share));
+  record_largest_in_zone(job, type, largest_zone(type, machines), demand.scaled(share));
 }
 
-// The zones that a job's demand is bound to. The target counts machines wherever they are, and was
-// met by machines in a zone where a bound or scattered job could not run: it waited for ever.
+// Adds the demand of jobs that need machines in specific zones. The target counts machines of all
+// zones: without these floors, machines in other zones met it and a zone-bound or spread job waited
+// forever.
 void DemandModel::add_zone_demand(const Job& job, Index type, const Resources& demand,
                                   const MachineCounts& machines) {
   if (job.zone != kNone) {
@@ -161,18 +172,18 @@
   if (job.spec.single_zone) return add_single_zone_demand(job, type, demand, machines);
   const auto& zones = catalog_.types[type].zones;
   if (!job.spec.spread_zones || job.tasks() < 2 || zones.size() < 2) return;
-  // At most half of it, rounded up, in one zone: the other half in a second one.
+  // At most half of the tasks, rounded up, may run in one zone, so the rest needs a second zone.
   const double half = std::floor(job.tasks() / 2.0) / job.tasks();
-  reserve_in_zone(job, type, catalog_.zones.find(zones[0]), demand.scaled(half));
-  reserve_in_zone(job, type, catalog_.zones.find(zones[1]), demand.scaled(half));
+  record_largest_in_zone(job, type, catalog_.zones.find(zones[0]), demand.scaled(half));
+  record_largest_in_zone(job, type, catalog_.zones.find(zones[1]), demand.scaled(half));
 }
 
 // ---------------------------------------------------------------- sampling
 
 void DemandModel::sample_if_due(double now) {
-  if (now < next_sample_) return;
+  if (now < next_sample_at_) return;
   sample(now);
-  next_sample_ = std::max(next_sample_ + settings_.tuning.sample_s, now);
+  next_sample_at_ = std::max(next_sample_at_ + settings_.tuning.sample_s, now);
 }
 
 void DemandModel::sample(double now) {
@@ -187,9 +198,10 @@
     const Index type = cheapest_type(*job);
     if (type == kNone) continue;
     double tasks = job->tasks() - job->done_count;
-    // A job that fails everywhere is tried again where there is room; its many tasks ask for none.
+    // A faulty job is retried on free capacity and is counted as one task at most, so that its
+    // remaining tasks cause no rentals.
     if (FaultDetector::is_faulty(*job) && !job->is_gang()) tasks = std::min(tasks, 1.0);
-    const Resources demand = within_team_limits(*job, job->spec.per_task.scaled(tasks), team_sums);
+    const Resources demand = limit_to_team_quota(*job, job->spec.per_task.scaled(tasks), team_sums);
     by_type_[type].all += demand;
     add_zone_demand(*job, type, demand, machines);
     if (!job->spec.spot) by_type_[type].on_demand += demand;
@@ -202,12 +214,13 @@
   demand.forecast.sample(now, demand.all);
   demand.target = demand.forecast.target(catalog_.types[type].size);
   const Resources spare = demand.forecast.spare();
-  const Resources ahead = demand.forecast.ahead();
+  const Resources predicted = demand.forecast.predicted_demand();
   spdlog::debug(
-      "type {}: demand {:.0f} cpus {:.0f} gpus {:.0f} gb, ahead {:.0f}/{:.0f}/{:.0f}, "
+      "type {}: demand {:.0f} cpus {:.0f} gpus {:.0f} gb, forecast {:.0f}/{:.0f}/{:.0f}, "
       "spare {:.0f}/{:.0f}/{:.0f}, target {:.0f}",
-      catalog_.types[type].name, demand.all.cpus, demand.all.gpus, demand.all.memory_gb, ahead.cpus,
-      ahead.gpus, ahead.memory_gb, spare.cpus, spare.gpus, spare.memory_gb, demand.target);
+      catalog_.types[type].name, demand.all.cpus, demand.all.gpus, demand.all.memory_gb,
+      predicted.cpus, predicted.gpus, predicted.memory_gb, spare.cpus, spare.gpus, spare.memory_gb,
+      demand.target);
 }
 
 }  // namespace rookdyke
--- a/src/fleet/demand_model.h
+++ b/src/fleet/demand_model.h
@@ -1,8 +1,9 @@
 #pragma once
-// How many machines the open jobs ask for: demand per machine type and zone, its forecast one boot
-// ahead, and what follows from both, the target of each type and the floors that the target alone
-// does not ensure. Owns the samples; sampled by the scheduler once a round, asked by fleet
-// planning. It changes neither jobs nor machines. Between two samples its answers stay the same.
+// The number of machines that the open jobs need: demand for each machine type and zone, its
+// forecast one boot time ahead, and the results for fleet planning, which are a target for each
+// type and floors for needs that the target alone does not cover (zones, on-demand machines). The
+// scheduler calls it once per round. It changes neither jobs nor machines, and its results change
+// only when a sample is taken.
 
 #include <cstddef>
 #include <map>
@@ -19,30 +20,30 @@
 
 namespace rookdyke {
 
-// The least machines of a type that one zone needs.
+// The minimum number of machines of a type that one zone needs.
 struct ZoneFloor {
-  double all = 0;        // of either kind
-  double on_demand = 0;  // for jobs that may not use spot machines
+  double all = 0;        // machines of both kinds
+  double on_demand = 0;  // machines for jobs that may not use spot machines
 };
 
 class DemandModel {
  public:
-  // All must outlive this object. The first sample is due at `now`, in seconds.
+  // All references must outlive this object. The first sample is due at `now`.
   DemandModel(const Settings& settings, const Catalog& catalog, const JobTable& jobs,
               const MachineTable& machines, double now);
 
   // Takes a sample if one is due.
   void sample_if_due(double now);
 
-  // Machines of the type that are wanted, wherever they are; 0 before the first sample.
+  // The number of machines of the type to have, in all zones together; 0 before the first sample.
   double target(Index type) const { return by_type_[type].target; }
-  // Of all types.
+  // The sum of the targets of all types.
   double total_target() const;
-  // Machines that jobs need which may not use spot machines.
+  // The number of machines needed by jobs that may not use spot machines.
   double on_demand_floor(Index type) const;
-  // By zone; zones without a floor are left out.
+  // The floors by zone; zones without a floor are omitted.
   std::map<Index, ZoneFloor> zone_floors(Index type) const;
-  // Whether some of the type's demand may be met by spot machines.
+  // Whether spot machines may serve some of the demand for the type.
   bool has_spot_demand(Index type) const;
 
  private:
@@ -53,20 +54,21 @@
       return std::tie(type, zone) < std::tie(other.type, other.zone);
     }
   };
-  // How many machines of a type a zone has; terminated ones are left out.
+  // The number of machines by type and zone, without terminated machines.
   using MachineCounts = std::map<TypeAndZone, size_t>;
 
-  // Of jobs that can run in one zone alone: bound to it, begun there, or spread over two.
+  // Demand for machines in one zone: from jobs that are bound to it, single-zone jobs that are
+  // expected to run there, and jobs that are spread over this zone and another one.
   struct ZoneDemand {
-    Resources all, on_demand;  // of jobs bound to the zone
-    // In machines: the largest job's that could go elsewhere too.
-    double largest = 0, largest_on_demand = 0;
+    Resources all, on_demand;  // demand of jobs bound to the zone
+    // In machines: the largest demand of a job that is not bound to the zone.
+    double largest_job = 0, largest_on_demand_job = 0;
   };
   struct TypeDemand {
     Forecast forecast;
     double target = 0;
     Resources all;
-    Resources on_demand;  // of jobs that may not use spot machines
+    Resources on_demand;  // demand of jobs that may not use spot machines
     std::map<Index, ZoneDemand> by_zone;
   };
 
@@ -74,23 +76,23 @@
   void update_target(Index type, double now);
   Index cheapest_type(const Job& job) const;
   bool could_run_on(const Job& job, Index type) const;
-  Resources within_team_limits(const Job& job, Resources demand,
-                               std::vector<Resources>& team_sums) const;
+  Resources limit_to_team_quota(const Job& job, Resources demand,
+                                std::vector<Resources>& team_sums) const;
   MachineCounts count_machines() const;
   void add_zone_demand(const Job& job, Index type, const Resources& demand,
                        const MachineCounts& machines);
   void add_single_zone_demand(const Job& job, Index type, const Resources& demand,
                               const MachineCounts& machines);
-  void reserve_in_zone(const Job& job, Index type, Index zone, const Resources& demand);
+  void record_largest_in_zone(const Job& job, Index type, Index zone, const Resources& demand);
   Index largest_zone(Index type, const MachineCounts& machines) const;
-  double machines_for(Index type, const Resources& demand) const;
+  double machines_needed(Index type, const Resources& demand) const;
 
   const Settings& settings_;
   const Catalog& catalog_;
   const JobTable& jobs_;
   const MachineTable& machines_;
   std::vector<TypeDemand> by_type_;
-  double next_sample_;
+  double next_sample_at_;
 };
 
 }  // namespace rookdyke
--- a/src/fleet/fleet_planner.h
+++ b/src/fleet/fleet_planner.h
@@ -1,7 +1,7 @@
 #pragma once
-// Keeps the fleet at the size that demand asks for: first every type is scaled out as far as it
-// lacks machines, then those that have had too many for long enough are scaled in. Owns both
-// planners; called by the scheduler at the end of each round, after placement.
+// Adjusts the fleet to demand: first scales out the types that lack machines, then scales in those
+// that had a surplus for the scale-in delay. Owns both planners; called by the scheduler at the end
+// of each round, after placement.
 
 #include "fleet/cloud_requests.h"
 #include "fleet/demand_model.h"
@@ -17,7 +17,7 @@
 
 class FleetPlanner {
  public:
-  // All must outlive this object.
+  // All references must outlive this object.
   FleetPlanner(const Settings& settings, const Catalog& catalog, const DemandModel& demand,
                const MachineMonitor& monitor, MachineTable& machines, const ReplicaMover& replicas,
                CloudRequests& requests)
--- a/src/fleet/forecast.cpp
+++ b/src/fleet/forecast.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-// Nearest-rank percentile of one resource over the kept misses.
+// Nearest-rank percentile of one resource over the misses.
 double percentile(const std::deque<Resources>& misses, double Resources::*field, double share) {
   std::vector<double> v;
   v.reserve(misses.size());
   for (const Resources& m : misses) v.push_back(m.*field);
-  const size_t priority = std::clamp<size_t>(
+  const size_t rank = std::clamp<size_t>(
       static_cast<size_t>(std::ceil(share * static_cast<double>(v.size()))), 1, v.size());
-  std::nth_element(v.begin(), v.begin() + static_cast<std::ptrdiff_t>(priority - 1), v.end());
-  return v[priority - 1];
+  std::nth_element(v.begin(), v.begin() + static_cast<std::ptrdiff_t>(rank - 1), v.end());
+  return v[rank - 1];
 }
 
 }  // namespace
 
 Resources Forecast::trend(double now) const {
-  // Least squares over the window; the slope carries the last sample one boot ahead.
+  // Least-squares slope over the trend window, extrapolated from the last sample.
   const auto n = static_cast<double>(recent_.size());
   const Resources last = recent_.back().value;
   if (n < 3) return last;
@@ -33,22 +33,22 @@
     mean_t += p.at / n;
     mean += p.value.scaled(1.0 / n);
   }
-  double tt = 0;
-  Resources ty;
+  double sum_tt = 0;
+  Resources sum_ty;
   for (const Point& p : recent_) {
     const double dt = p.at - mean_t;
-    tt += dt * dt;
+    sum_tt += dt * dt;
     Resources d = p.value;
     d -= mean;
-    ty += d.scaled(dt);
+    sum_ty += d.scaled(dt);
   }
-  if (tt <= 0) return last;
-  Resources out = last;
-  out += ty.scaled((now + ahead_ - recent_.back().at) / tt);
-  // Up eagerly, down lazily, as the post has it: a falling trend is not carried on. Carried on, it
-  // had machines drained that the work still running needed minutes later.
-  return {std::max(last.cpus, out.cpus), std::max(last.gpus, out.gpus),
-          std::max(last.memory_gb, out.memory_gb)};
+  if (sum_tt <= 0) return last;
+  Resources extrapolated = last;
+  extrapolated += sum_ty.scaled((now + horizon_s_ - recent_.back().at) / sum_tt);
+  // Scale-out follows the trend, scale-in does not: extrapolating a falling trend drained
+  // machines that running work needed again minutes later.
+  return {std::max(last.cpus, extrapolated.cpus), std::max(last.gpus, extrapolated.gpus),
+          std::max(last.memory_gb, extrapolated.memory_gb)};
 }
 
 void Forecast::sample(double now, const Resources& demand) {
@@ -62,8 +62,8 @@
   }
   recent_.push_back({now, demand});
   while (recent_.front().at < now - tuning_.trend_s - 0.5) recent_.pop_front();
-  next_ = trend(now);
-  pending_.push_back({now + ahead_, next_});
+  predicted_ = trend(now);
+  pending_.push_back({now + horizon_s_, predicted_});
 }
 
 Resources Forecast::spare() const {
@@ -74,9 +74,9 @@
 }
 
 double Forecast::target(const Resources& size) const {
-  Resources want = next_;
-  want += spare();
-  double ratio = want.dominant_share(size.scaled(tuning_.safe_fraction));
+  Resources needed = predicted_;
+  needed += spare();
+  double ratio = needed.dominant_share(size.scaled(tuning_.safe_fraction));
   if (misses_.empty()) ratio += tuning_.start_spare;
   return std::ceil(ratio - 1e-9);
 }
--- a/src/fleet/forecast.h
+++ b/src/fleet/forecast.h
@@ -1,7 +1,8 @@
 #pragma once
-// The design's sizing rule for one machine type: forecast demand one boot ahead by its recent
-// trend, add a high percentile of past positive misses, divide by the safe part of a machine;
-// the largest ratio over the resources is the target (docs/design.md).
+// The sizing rule for one machine type (docs/design.md): the demand forecast one boot time ahead by
+// its recent trend, plus a high percentile of past positive misses, divided by the safe fraction of
+// a machine. The largest ratio over the resources is the target. A miss is the amount by which
+// demand exceeded its forecast.
 
 #include <deque>
 
@@ -12,18 +13,19 @@
 
 class Forecast {
  public:
-  Forecast(const Tuning& tuning, double boot_s) : tuning_(tuning), ahead_(boot_s) {}
+  Forecast(const Tuning& tuning, double horizon_s) : tuning_(tuning), horizon_s_(horizon_s) {}
 
-  // Takes one demand sample; call every tuning.sample_s.
+  // Adds a demand sample; called every tuning.sample_s.
   void sample(double now, const Resources& demand);
 
-  // Demand expected one boot ahead.
-  Resources ahead() const { return next_; }
-  // The miss tail per resource.
+  // Demand forecast for the end of the horizon.
+  Resources predicted_demand() const { return predicted_; }
+  // The configured percentile of the misses, for each resource.
   Resources spare() const;
   bool has_history() const { return !misses_.empty(); }
 
-  // Machines of this size wanted; the start value holds until a forecast has come due.
+  // The number of machines of this size to have. tuning.start_spare is added until the first
+  // forecast has come due.
   double target(const Resources& size) const;
 
  private:
@@ -34,11 +36,11 @@
   Resources trend(double now) const;
 
   Tuning tuning_;
-  double ahead_;
+  double horizon_s_;
   std::deque<Point> recent_;      // demand samples within the trend window
   std::deque<Point> pending_;     // forecasts that have not come due
-  std::deque<Resources> misses_;  // actual minus forecast, positive part, newest last
-  Resources next_;
+  std::deque<Resources> misses_;  // actual minus forecast demand, at least 0; newest last
+  Resources predicted_;
 };
 
 }  // namespace rookdyke
--- a/src/fleet/machine_monitor.h
+++ b/src/fleet/machine_monitor.h
@@ -1,10 +1,13 @@
 #pragma once
-// Which machines are alive, and which are to be returned because they are not, or because work of
-// cancelled jobs is still on them. Owns what is known of mass silence: machines that fall silent
-// together are likely cut off rather than dead, and are waited for longer. Called by the scheduler
-// once a round; asked by fleet planning what counts as capacity. Terminates machines through
-// MachineTable and stops attempts through TaskLifecycle; it never ends an attempt, for silence is
-// no proof (invariant 3). All times are seconds on the leader's clock.
+// Decides which machines are alive, and which are to be returned because they are not or because
+// tasks of cancelled jobs may still run on them. Called by the scheduler once per round; fleet
+// planning asks it which machines count as capacity. Terminates machines through MachineTable and
+// stops attempts through TaskLifecycle, but never ends an attempt: missed heartbeats do not prove
+// that its task has stopped (invariant 3).
+//
+// Also owns the mass outage state: machines that miss heartbeats at the same time are probably
+// partitioned from the leader rather than dead, so they get a longer heartbeat timeout. All times
+// are seconds on the leader's steady clock.
 
 #include <cstddef>
 
@@ -22,7 +25,7 @@
 
 class MachineMonitor {
  public:
-  // All must outlive this object. `started`: when this leader began.
+  // All references must outlive this object. `started`: when this leader took over.
   MachineMonitor(const Settings& settings, const Catalog& catalog, JobTable& jobs,
                  MachineTable& machines, BootTracker& boot_tracker, ReplicaMover& replicas,
                  TaskLifecycle& lifecycle, double started)
@@ -35,34 +38,39 @@
         lifecycle_(lifecycle),
         started_(started) {}
 
-  // Updates mass silence and the boot statistics, then terminates machines that are silent,
-  // unreachable, lost, drained, reclaimed, or that keep cancelled work. Once a round.
+  // Updates the mass outage state and the boot statistics, then terminates machines that timed out,
+  // are unreachable, did not boot, are drained or reclaimed, or hold overdue tasks of cancelled
+  // jobs. Called once per round.
   void check_machines(double now);
-  // Terminates only machines that keep work of cancelled jobs, as a leader in doubt may.
+  // Terminates only machines that may still run tasks of cancelled jobs. Unlike check_machines(),
+  // an unconfirmed leader may call it.
   void release_cancelled_work(double now);
-  // This process did not run for `stall_s` seconds: the machines' silence meanwhile was its own.
+  // Called after this process did not run for `stall_s` seconds. Heartbeats missed during the stall
+  // are not held against the machines.
   void on_process_stall(double stall_s, double now);
 
-  // Whether the machine serves demand, now or once it has booted.
+  // Whether the machine serves demand, now or after it has booted.
   bool counts_as_capacity(const Machine& machine, double now) const;
   // Whether tasks of a cancelled job may be on the machine.
-  bool holds_cancelled(const Machine& machine) const;
-  // Whether most registered machines have fallen silent: the fault is likely on this side.
+  bool holds_cancelled_tasks(const Machine& machine) const;
+  // Whether most registered machines miss heartbeats, so that the fault is probably on the side of
+  // this controller.
   bool receives_no_heartbeats(double now) const;
-  // Whether a registered machine has been silent for longer than a single one is waited for.
-  bool is_silent(const Machine& machine, double now) const;
+  // Whether the last heartbeat of a registered machine is older than the regular heartbeat timeout,
+  // regardless of a mass outage.
+  bool has_timed_out(const Machine& machine, double now) const;
 
  private:
-  double silence_limit() const;
-  double mass_silence_limit() const;
-  double silence_limit_of(const Machine& machine) const;
-  double registration_limit(const Machine& machine) const;
-  bool holds_overdue(const Machine& machine, double now) const;
+  double heartbeat_timeout() const;
+  double mass_outage_timeout() const;
+  double heartbeat_timeout_of(const Machine& machine) const;
+  double registration_timeout(const Machine& machine) const;
+  bool holds_overdue_cancelled_tasks(const Machine& machine, double now) const;
 
-  void update_mass_silence(double now);
-  bool sees_mass_silence(double now) const;
+  void update_mass_outage(double now);
+  bool detects_mass_outage(double now) const;
   bool are_many_unreachable() const;
-  bool terminate_if_out_of_control(Machine& machine, bool many_unreachable, double now);
+  bool terminate_if_uncontrollable(Machine& machine, bool many_unreachable, double now);
   void check_booting(Machine& machine, double now);
   void check_registered(Machine& machine, double now);
   void check_draining(Machine& machine, double now);
@@ -77,8 +85,8 @@
   TaskLifecycle& lifecycle_;
   const double started_;
 
-  bool mass_silence_ = false;
-  double mass_silence_until_ = -1;
+  bool mass_outage_ = false;
+  double mass_outage_until_ = -1;
 };
 
 }  // namespace rookdyke
--- a/src/fleet/scale_in_planner.cpp
+++ b/src/fleet/scale_in_planner.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-// After the scale-in delay machines are drained once in this many seconds, as long as the target
-// stays below: one, or this share of the surplus. One a sample (5 s) left thirty of forty machines
-// idle for two minutes after the last burst; one a second would take ten minutes over six hundred.
-constexpr double kDrainInterval = 1;
+// After the scale-in delay, while the surplus lasts, one machine or this share of the surplus is
+// drained per interval. One machine per sample (5 s) left 30 of 40 machines idle for two minutes
+// after the last burst; one per second would need ten minutes for a surplus of 600.
+constexpr double kDrainIntervalS = 1;
 constexpr double kDrainShare = 0.1;
-// In shares of a machine: how much rather one without replicas of services is drained than one
-// with.
+// In shares of a machine: added for a machine with service replicas, so that others are drained
+// first.
 constexpr double kReplicaCost = 10;
-// Of equally empty machines the dearer, which is not spot, is drained first.
+// Among equally loaded machines, on-demand ones are drained first because they cost more.
 constexpr double kSpotCost = 1e-3;
 
 }  // namespace
@@ -38,10 +38,10 @@
   double& since = above_since_[type];
   if (since < 0 || now - since < settings_.tuning.scale_in_delay_s) return;
   drain_surplus(type, now);
-  since += kDrainInterval;
+  since += kDrainIntervalS;
 }
 
-// The emptiest machines, those with replicas last.
+// The machines that may be drained, emptiest first, those with replicas last.
 std::vector<ScaleInPlanner::Candidate> ScaleInPlanner::candidates(Index type, double now) const {
   std::vector<Candidate> found;
   for (const auto& machine : machines_) {
@@ -63,7 +63,7 @@
   });
 }
 
-// Whether the type and the machine's zone have more than their floors ask for without it.
+// Whether the floors of the type and of the machine's zone are still met without the machine.
 bool ScaleInPlanner::is_above_floors(const Machine& machine, Capacity& capacity,
                                      const Floors& floors) {
   if (!machine.spot && capacity.on_demand <= floors.on_demand) return false;
@@ -78,7 +78,7 @@
   const Floors floors{demand_.on_demand_floor(type), demand_.zone_floors(type)};
   const double surplus = capacity.total - demand_.target(type);
   double remaining = std::max(1.0, std::ceil(kDrainShare * surplus));
-  // Each replica that moves is missed meanwhile: machines with some are drained one at a time.
+  // A service lacks a replica while it moves, so machines with replicas are drained one at a time.
   bool replicas_move = is_draining_replicas();
   for (const Candidate& candidate : candidates(type, now)) {
     if (remaining <= 0) break;
--- a/src/fleet/scale_in_planner.h
+++ b/src/fleet/scale_in_planner.h
@@ -1,7 +1,7 @@
 #pragma once
-// Decides which machines of a type are drained once it has had too many for the scale-in delay.
-// Owns the moment since when each type is above its target. Called by FleetPlanner once a round;
-// MachineMonitor returns the machines once they are empty.
+// Decides which machines of a type are drained when the type was above its target for the scale-in
+// delay. Records since when each type has been above its target. Called by FleetPlanner once per
+// round; MachineMonitor returns the drained machines.
 
 #include <map>
 #include <tuple>
@@ -22,7 +22,7 @@
 
 class ScaleInPlanner {
  public:
-  // All must outlive this object.
+  // All references must outlive this object.
   ScaleInPlanner(const Settings& settings, const Catalog& catalog, const DemandModel& demand,
                  const MachineMonitor& monitor, MachineTable& machines,
                  const ReplicaMover& replicas)
@@ -34,17 +34,17 @@
         replicas_(replicas),
         above_since_(catalog.types.size(), kNotAbove) {}
 
-  // How the type's capacity compares with its target in this round.
+  // Records how the type's capacity compares with its target in this round.
   void record_balance(Index type, FleetBalance balance, double now);
-  // Drains some of the type's machines if the scale-in delay is over.
+  // Drains some of the type's machines if it was above its target for the scale-in delay.
   void drain_if_due(Index type, double now);
 
  private:
   static constexpr double kNotAbove = -1;
 
-  // Smallest first; of equal ones the lowest index.
+  // A machine that may be drained, ordered by cost, then by index.
   struct Candidate {
-    double cost = 0;  // in shares of a machine: what draining it would disturb
+    double cost = 0;  // of draining it, in shares of a machine
     Index machine = kNone;
     bool operator<(const Candidate& other) const {
       return std::tie(cost, machine) < std::tie(other.cost, other.machine);
@@ -53,7 +53,7 @@
   void drain_surplus(Index type, double now);
   std::vector<Candidate> candidates(Index type, double now) const;
   struct Floors {
-    double on_demand = 0;  // in all zones
+    double on_demand = 0;  // all zones together
     std::map<Index, ZoneFloor> by_zone;
   };
   static bool is_above_floors(const Machine& machine, Capacity& capacity, const Floors& floors);
@@ -65,7 +65,7 @@
   const MachineMonitor& monitor_;
   MachineTable& machines_;
   const ReplicaMover& replicas_;
-  std::vector<double> above_since_;  // by type
+  std::vector<double> above_since_;  // by type; kNotAbove: not above the target
 };
 
 }  // namespace rookdyke
--- a/src/fleet/scale_out_planner.cpp
+++ b/src/fleet/scale_out_planner.cpp
@@ -12,8 +12,8 @@
   const bool may_request = pending <= 0 && requests_.may_request(now);
   if (may_request && raise_to_zone_floors(type, capacity, now))
     return FleetBalance::below_zone_floor;
-  // Exception to the design's one count per type: spot machines cannot serve jobs that may not
-  // use them, so those jobs' demand is a floor for the on-demand ones.
+  // Exception to the design's single count per type: some jobs may not use spot machines, so their
+  // demand is a floor for the number of on-demand machines.
   const double target = demand_.target(type);
   Shortage shortage;
   shortage.on_demand_floor = demand_.on_demand_floor(type);
@@ -25,7 +25,7 @@
   return FleetBalance::below_target;
 }
 
-// All zones of the type are in it, those without machines too.
+// The type's capacity, with an entry for each of its zones, including those without machines.
 Capacity ScaleOutPlanner::capacity_by_zone(Index type, double now) const {
   Capacity capacity = count_capacity(machines_, monitor_, type, now);
   for (const std::string& zone : catalog_.types[type].zones)
@@ -33,7 +33,7 @@
   return capacity;
 }
 
-// Counts machines that are asked for as if they were there; how many these are.
+// Adds the machines of pending rentals to the capacity and returns their number.
 double ScaleOutPlanner::add_pending_rentals(Index type, Capacity& capacity) const {
   double pending = 0;
   for (const CloudRequests::PendingRental& rental : requests_.pending_rentals(type)) {
@@ -45,11 +45,12 @@
   return pending;
 }
 
-// Second exception to the one count per type: jobs that can run in one zone alone are a floor for
-// the machines there. True: a machine for one was found or asked for.
+// Second exception to the single count per type: jobs that need machines in a certain zone set a
+// floor for the machines there. Returns true if a draining machine was reused or a rental was
+// queued for one of the zones.
 bool ScaleOutPlanner::raise_to_zone_floors(Index type, Capacity& capacity, double now) {
   for (const auto& [zone, floor] : demand_.zone_floors(type)) {
-    // Both maps gain the zone: one that has a floor may be chosen for the type's other demand too.
+    // operator[] adds the zone to both maps, so that it may be chosen for the type's other demand.
     const double on_demand_shortage = floor.on_demand - capacity.on_demand_by_zone[zone];
     const double shortage = std::max(on_demand_shortage, floor.all - capacity.by_zone[zone]);
     if (shortage <= 0) continue;
@@ -64,7 +65,8 @@
   return false;
 }
 
-// A draining machine is the fastest machine to be had.
+// Takes one draining machine of the zone back into use, since that is faster than renting. Returns
+// whether there was one.
 bool ScaleOutPlanner::reuse_draining_in_zone(Index type, Index zone, bool on_demand_only) {
   for (const auto& machine : machines_)
     if (machine->type == type && machine->zone == zone &&
@@ -74,7 +76,7 @@
   return false;
 }
 
-// Takes draining machines of any zone back into use; what is still lacking afterwards.
+// Takes draining machines of any zone back into use. Returns the shortage that remains.
 double ScaleOutPlanner::reuse_draining(Index type, const Capacity& capacity, Shortage shortage) {
   const bool on_demand_only =
       capacity.on_demand < shortage.on_demand_floor && capacity.total >= demand_.target(type);
@@ -89,8 +91,8 @@
   return shortage.total;
 }
 
-// Chooses kind, zone and count of one request. Spot machines are cheaper, and on-demand ones are
-// asked for only where jobs need them or where no spot machines are to be had.
+// Queues one request. Spot machines are cheaper, so on-demand machines are requested only if jobs
+// need them or if no zone has capacity for spot machines.
 void ScaleOutPlanner::request_for(Index type, const Capacity& capacity, const Shortage& shortage,
                                   double now) {
   const bool has_spot_demand = demand_.has_spot_demand(type);
@@ -108,13 +110,15 @@
     zone = choose_zone(type, kind, capacity, now);
   }
   if (zone == kNone) return;
-  // Spread over the zones, so that a zone's failure or a wave of reclaims takes less.
+  // Spreads the machines over the zones, so that a zone failure or a wave of reclaims affects
+  // fewer.
   const auto zones = static_cast<double>(std::max<size_t>(1, capacity.by_zone.size()));
   count = std::min(count, std::max(1.0, std::ceil(shortage.total / zones)));
   requests_.request_machines(type, {zone, kind}, count, now);
 }
 
-// The zone with the fewest machines among those that have capacity; kNone: there is none.
+// The zone with the fewest machines among those where the cloud has capacity; kNone if there is
+// none.
 Index ScaleOutPlanner::choose_zone(Index type, MachineKind kind, const Capacity& capacity,
                                    double now) const {
   Index best = kNone;
--- a/src/fleet/scale_out_planner.h
+++ b/src/fleet/scale_out_planner.h
@@ -1,8 +1,8 @@
 #pragma once
-// Decides how many machines of a type are to be added, where, and of which kind. Owns no state of
-// its own: it compares capacity with demand, takes draining machines back into use, and queues
-// rentals at CloudRequests. Called by FleetPlanner for each type once a round. At most one request
-// of a type is unanswered at any time.
+// Decides how many machines of a type are added, in which zone, and of which kind. Stateless: it
+// compares capacity with demand, takes draining machines back into use, and queues rentals in
+// CloudRequests. Called by FleetPlanner for each type once per round. At most one rental request of
+// a type is pending at any time.
 
 #include <cstdint>
 
@@ -16,9 +16,9 @@
 
 namespace rookdyke {
 
-// How a type's capacity compares with what is wanted of it.
+// How a type's capacity compares with its zone floors and its target.
 enum class FleetBalance : uint8_t {
-  below_zone_floor,  // a zone lacks machines; the target has not been looked at
+  below_zone_floor,  // a zone lacks machines; the target was not evaluated
   below_target,
   balanced,
   above_target
@@ -26,7 +26,7 @@
 
 class ScaleOutPlanner {
  public:
-  // All must outlive this object.
+  // All references must outlive this object.
   ScaleOutPlanner(const Catalog& catalog, const DemandModel& demand, const MachineMonitor& monitor,
                   MachineTable& machines, CloudRequests& requests)
       : catalog_(catalog),
@@ -35,14 +35,13 @@
         machines_(machines),
         requests_(requests) {}
 
-  // Adds what the type lacks, as far as may be asked for now.
+  // Adds the machines that the type lacks, as far as the rental limits allow now.
   FleetBalance plan(Index type, double now);
 
  private:
-  // What the type lacks, in machines.
   struct Shortage {
-    double total = 0;
-    double on_demand_floor = 0;
+    double total = 0;            // machines that the type lacks
+    double on_demand_floor = 0;  // on-demand machines that the type must have
   };
   Capacity capacity_by_zone(Index type, double now) const;
   double add_pending_rentals(Index type, Capacity& capacity) const;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -110,7 +110,7 @@
     if (m->state == MachineState::ready) ++s.ready;
     if (m->state == MachineState::booting) ++s.booting;
     if (m->state == MachineState::draining) ++s.draining;
-    if (monitor_.is_silent(*m, now)) ++s.silent;
+    if (monitor_.has_timed_out(*m, now)) ++s.silent;
   }
   s.target = demand_.total_target();
   return s;
--- a/tests/scheduler/forecast_test.cpp
+++ b/tests/scheduler/forecast_test.cpp
@@ -29,7 +29,7 @@
   t.trend_s = 30;
   Forecast f(t, 40);
   for (int i = 0; i <= 6; ++i) f.sample(5 * i, {10.0 * i, 0, 0});
-  EXPECT_NEAR(f.ahead().cpus, 60 + 2 * 40, 1e-6);
+  EXPECT_NEAR(f.predicted_demand().cpus, 60 + 2 * 40, 1e-6);
 }
 
 TEST(Forecast, KeepsTheTailOfItsPositiveMisses) {
