--- a/src/placement/array_placement.cpp
+++ b/src/placement/array_placement.cpp
@@ -9,17 +9,19 @@
 
 namespace {
 
-// What a starved array may start at its turn: at least so many tasks, or this part of them.
-constexpr uint32_t kMinStarvedStarts = 4;
-constexpr uint32_t kStarvedDivisor = 16;
+// The starvation allowance of an array is 1/kStarvationDivisor of its tasks, but at least
+// kMinStarvationAllowance.
+constexpr uint32_t kMinStarvationAllowance = 4;
+constexpr uint32_t kStarvationDivisor = 16;
 
-// A share of the array's own tasks, and no more than that share of what the whole fleet holds of
-// them. Of an array larger than the fleet, a share of its own would take every slot before promised
-// work.
-uint32_t full_starvation_allowance(const Job& job, size_t ready_machines) {
-  const double fleet_holds = job.share > 0 ? static_cast<double>(ready_machines) / job.share : 0;
-  const double counted = std::min<double>(job.tasks(), fleet_holds);
-  return std::max(kMinStarvedStarts, static_cast<uint32_t>(counted) / kStarvedDivisor);
+// The allowance is a fraction of the array's tasks, or of the tasks that fit on the whole fleet if
+// that is less: a fraction of an array much larger than the fleet would take every free slot before
+// jobs with start-time objectives.
+uint32_t initial_starvation_allowance(const Job& job, size_t ready_machines) {
+  const double fleet_slots = job.share > 0 ? static_cast<double>(ready_machines) / job.share : 0;
+  const double considered_tasks = std::min<double>(job.tasks(), fleet_slots);
+  return std::max(kMinStarvationAllowance,
+                  static_cast<uint32_t>(considered_tasks) / kStarvationDivisor);
 }
 
 }  // namespace
@@ -28,35 +30,39 @@
   return team_usage_.within_limit(job.team, job.spec.per_task, 1);
 }
 
-// How many tasks may be started in this round, the budget aside.
+// Number of tasks that may be started in this round, not counting the round's budget. Also sets the
+// starvation allowance of an array that has become starved.
 uint32_t ArrayPlacement::start_limit(Job& job, const PlacementRound& round, bool starved) const {
   uint32_t& allowance = job.placement.starvation_allowance;
-  if (starved && allowance == 0) allowance = full_starvation_allowance(job, round.ready_machines);
-  // One task shows whether it still fails. The next one waits for that and for the back-off: the
-  // error of the first is reported only after rounds in which more would have been started.
+  if (starved && allowance == 0)
+    allowance = initial_starvation_allowance(job, round.ready_machines);
+  // A faulty job runs one task at a time, to test whether it still fails. The next task waits for
+  // its result and for the back-off: its error is reported only after further rounds, which would
+  // otherwise start more tasks.
   if (FaultDetector::is_faulty(job)) return job.attempts.empty() ? 1 : 0;
   return starved ? allowance : UINT32_MAX;
 }
 
 PlacementOutcome ArrayPlacement::place(Job& job, PlacementRound& round, ImageLocality locality) {
-  // Its own limit, not the machines, holds it back.
-  if (!has_quota(job)) return PlacementOutcome::held_back;
-  if (search_.is_known_full(job, 1)) return PlacementOutcome::lacks_machines;
+  // The team's limit, not a lack of machines, prevents a start, so nothing is preempted.
+  if (!has_quota(job)) return PlacementOutcome::limited;
+  if (search_.is_known_unplaceable(job, 1)) return PlacementOutcome::insufficient_capacity;
   const bool starved = JobQueue::is_starved(job, round.now);
   const uint32_t limit = start_limit(job, round, starved);
   const uint32_t started = start_tasks(job, round, locality, limit);
-  // In a full fleet slots come free a few at a time: its turn lasts until its share has begun.
+  // On a full fleet slots become free a few at a time, so a starved array stays starved until it
+  // has used its whole allowance.
   JobPlacement& placement = job.placement;
   if (started > 0 && (!starved || placement.starvation_allowance == 0 || job.waiting.empty())) {
     placement.last_start = round.now;
     placement.starvation_allowance = 0;
   }
   if (job.waiting.empty()) return PlacementOutcome::placed;
-  if (round.budget <= 0 || started == limit || !has_quota(job)) return PlacementOutcome::held_back;
-  return PlacementOutcome::lacks_machines;
+  if (round.budget <= 0 || started == limit || !has_quota(job)) return PlacementOutcome::limited;
+  return PlacementOutcome::insufficient_capacity;
 }
 
-// Returns how many tasks were started; their attempts share one number.
+// Returns the number of tasks started. Their attempts have the same attempt number.
 uint32_t ArrayPlacement::start_tasks(Job& job, PlacementRound& round, ImageLocality locality,
                                      uint32_t limit) {
   const uint64_t attempt = job.highest_attempt + 1;
--- a/src/placement/array_placement.h
+++ b/src/placement/array_placement.h
@@ -1,7 +1,7 @@
 #pragma once
-// Places the tasks of array jobs: each by itself, on the best machine that is left. Owns nothing;
-// writes the job's turn (JobPlacement::last_start, starvation_allowance) and proposes attempts
-// through TaskLifecycle. Called by Placement.
+// Places the tasks of array jobs independently of each other, each on the best machine that is
+// left. Stateless; sets JobPlacement::last_start and JobPlacement::starvation_allowance of the job
+// and proposes attempts through TaskLifecycle. Called by Placement.
 
 #include <cstdint>
 
@@ -26,8 +26,8 @@
         eligibility_(eligibility),
         search_(search) {}
 
-  // Starts as many waiting tasks as there is room for, within the round's budget and the team's
-  // limit. A starved array gets a part of its tasks, over as many rounds as that takes.
+  // Starts as many waiting tasks as fit, within the round's budget and the team's limit. A starved
+  // array starts only its starvation allowance, over as many rounds as necessary.
   PlacementOutcome place(Job& job, PlacementRound& round, ImageLocality locality);
 
  private:
--- a/src/placement/eligibility.cpp
+++ b/src/placement/eligibility.cpp
@@ -5,15 +5,15 @@
 namespace rookdyke {
 
 namespace {
-// In heartbeat intervals: a machine that is silent for longer may be gone already.
-constexpr double kMissedHeartbeat = 1.7;
-// A job that failed on so many machines may be tried again on any of them.
+// In heartbeat intervals. A machine whose last heartbeat is older may no longer exist.
+constexpr double kMaxHeartbeatAgeIntervals = 1.7;
+// A job that failed on this many machines may be retried on any of them.
 constexpr size_t kMaxAvoidedMachines = 3;
 }  // namespace
 
-bool Eligibility::takes_work(const Machine& machine, double now) const {
+bool Eligibility::accepts_tasks(const Machine& machine, double now) const {
   if (!machine.usable() || machine.type == kNone || now < machine.suspect_until) return false;
-  return now - machine.last_heartbeat <= kMissedHeartbeat * settings_.heartbeat_interval_s;
+  return now - machine.last_heartbeat <= kMaxHeartbeatAgeIntervals * settings_.heartbeat_interval_s;
 }
 
 bool Eligibility::may_run(const Job& job, const Machine& machine, double now) const {
@@ -23,7 +23,8 @@
   if (machine.reserved_for != kNone && machine.reserved_for != job.id &&
       now < machine.reserved_until)
     return false;
-  // It still lists an older attempt, which must not be cleared.
+  // The worker still lists an earlier attempt of this job, which must not be cleared while the
+  // outcome of its direct start is indeterminate.
   const auto& unanswered = machine.unanswered_starts;
   if (std::any_of(unanswered.begin(), unanswered.end(),
                   [&](const auto& start) { return start.job == job.spec.id; }))
@@ -47,9 +48,9 @@
 }
 
 Resources Eligibility::free_resources(const Machine& machine) const {
-  Resources room = catalog_.types[machine.type].size;
-  room -= machine.used;
-  return room;
+  Resources available = catalog_.types[machine.type].size;
+  available -= machine.used;
+  return available;
 }
 
 }  // namespace rookdyke
--- a/src/placement/eligibility.h
+++ b/src/placement/eligibility.h
@@ -1,6 +1,6 @@
 #pragma once
-// Which machines a job's tasks may be placed on. Pure questions about the tables; nothing is
-// changed. Used by placement, preemption, and the replacement of replicas.
+// Decides on which machines a job's tasks may be placed. Reads the tables and modifies nothing.
+// Used by placement, preemption, and the migration of replicas.
 
 #include <cstdint>
 
@@ -18,14 +18,15 @@
   Eligibility(const Settings& settings, const Catalog& catalog, const MachineTable& machines)
       : settings_(settings), catalog_(catalog), machines_(machines) {}
 
-  // Whether anything new may be placed on the machine at all: what does not depend on the job.
-  bool takes_work(const Machine& machine, double now) const;
-  // Whether the job may run on a machine that takes work: type, kind, zone, reservations, faults.
+  // Whether new tasks of any job may be placed on the machine.
+  bool accepts_tasks(const Machine& machine, double now) const;
+  // Whether the job may run on a machine that accepts tasks. Checks the type, spot or on-demand,
+  // the zone, reservations and earlier failures.
   bool may_run(const Job& job, const Machine& machine, double now) const;
-  // Whether so many more of the job's tasks may be in the zone. Attempts count until they are
-  // proven gone.
+  // Whether `more` further tasks of the job may be placed in the zone. An attempt counts until it
+  // is known to have ended.
   bool zone_allows(const Job& job, Index zone, uint32_t more) const;
-  // What is left of a machine whose type is known.
+  // Free capacity of a machine. Its type must be known.
   Resources free_resources(const Machine& machine) const;
 
  private:
--- a/src/placement/gang_placement.cpp
+++ b/src/placement/gang_placement.cpp
@@ -10,22 +10,23 @@
 
 namespace {
 
-// A gang has free capacity reserved once it has waited this long; one that is promised a prompt
-// start much sooner.
+// Free capacity is reserved for a gang once it has waited this long; much earlier for a gang with a
+// prompt start-time objective.
 constexpr double kReserveAfterS = 20;
-constexpr double kReserveAfterPromisedS = 0.5;
-// A gang larger than this share of the machines has none reserved, unless it is starved.
+constexpr double kPromptStartReserveAfterS = 0.5;
+// No capacity is reserved for a gang that needs more than this share of the ready machines, unless
+// it is starved.
 constexpr double kMaxReservingShare = 0.15;
 
 bool may_reserve_capacity(const Job& job, const PlacementRound& round) {
   if (JobQueue::is_starved(job, round.now)) return true;
   const double waited = round.now - JobQueue::waiting_since(job);
-  if (waited < (job.has_start_promise ? kReserveAfterPromisedS : kReserveAfterS)) return false;
+  if (waited < (job.has_start_promise ? kPromptStartReserveAfterS : kReserveAfterS)) return false;
   return job.tasks() * job.share <= kMaxReservingShare * static_cast<double>(round.ready_machines);
 }
 
-// Whether the gang has one attempt that gathers. Otherwise an old attempt has not left entirely, or
-// nothing is to be replaced.
+// Whether all attempts of the gang have the same number and wait for the others to start. Otherwise
+// an older attempt has not been released yet, or the gang already runs or is being stopped.
 bool may_replace_tasks(const Job& job) {
   const uint64_t number = job.attempts.begin()->second.number;
   for (const auto& [task, attempt] : job.attempts)
@@ -39,22 +40,23 @@
   if (!job.attempts.empty()) return replace_missing_tasks(job, round);
   const uint32_t tasks = job.tasks();
   if (!team_usage_.within_limit(job.team, job.spec.per_task, tasks))
-    return PlacementOutcome::held_back;
-  if (search_.is_known_full(job, tasks)) return PlacementOutcome::lacks_machines;
+    return PlacementOutcome::limited;
+  if (search_.is_known_unplaceable(job, tasks)) return PlacementOutcome::insufficient_capacity;
   const PlacementCandidates found = search_.find(job, round.now, locality);
   const Selection selection = select_machines(job, found.machines);
   if (selection.machines.empty()) {
     reserve_capacity(job, found.machines, round);
-    if (!found.job_specific && locality != ImageLocality::required) search_.record_full(job, tasks);
-    return PlacementOutcome::lacks_machines;
+    if (!found.job_specific && locality != ImageLocality::required)
+      search_.record_unplaceable(job, tasks);
+    return PlacementOutcome::insufficient_capacity;
   }
   start(job, selection.machines, round);
   return PlacementOutcome::placed;
 }
 
-// Replacements join the attempt under its number (invariant 4's exception).
+// Replacements use the attempt number of the gang's current attempt (the exception to invariant 4).
 PlacementOutcome GangPlacement::replace_missing_tasks(Job& job, PlacementRound& round) {
-  if (!may_replace_tasks(job)) return PlacementOutcome::held_back;
+  if (!may_replace_tasks(job)) return PlacementOutcome::limited;
   const auto has_quota = [&] { return team_usage_.within_limit(job.team, job.spec.per_task, 1); };
   const bool starved = JobQueue::is_starved(job, round.now);
   const uint64_t number = job.attempts.begin()->second.number;
@@ -68,10 +70,11 @@
     }
   }
   if (job.waiting.empty()) return PlacementOutcome::placed;
-  return has_quota() ? PlacementOutcome::lacks_machines : PlacementOutcome::held_back;
+  return has_quota() ? PlacementOutcome::insufficient_capacity : PlacementOutcome::limited;
 }
 
-// The best machines, in the zone whose worst one is best if it has to be a single zone.
+// Selects the best machines. For a single-zone gang, selects the zone whose worst selected machine
+// has the best score.
 GangPlacement::Selection GangPlacement::select_machines(const Job& job,
                                                         const Candidates& candidates) const {
   if (!job.spec.single_zone) return select_in_zone(job, candidates, kNone);
@@ -85,7 +88,7 @@
   return best;
 }
 
-// `zone` kNone: in all zones.
+// Selects in all zones if `zone` is kNone.
 GangPlacement::Selection GangPlacement::select_in_zone(const Job& job, const Candidates& candidates,
                                                        Index zone) const {
   const uint32_t tasks = job.tasks();
@@ -115,13 +118,14 @@
   job.placement.last_start = round.now;
 }
 
-// Free capacity that does not suffice for a gang yet is kept for it in this round, in the zone that
-// has most of it: of the little that comes free at a time, it would never see enough at once. The
-// most urgent gang comes first in every round, so it always makes progress.
+// Reserves the free capacity for a gang that does not fit yet, for the rest of the round; for a
+// single-zone gang, in the zone with the most free slots. Without this, smaller jobs would take
+// capacity as it becomes free, and a gang would never find enough at once. The most urgent gang
+// comes first in every round, so it always makes progress.
 void GangPlacement::reserve_capacity(const Job& job, const Candidates& candidates,
                                      const PlacementRound& round) {
   if (!may_reserve_capacity(job, round)) return;
-  std::map<Index, uint32_t> slots_by_zone;  // all under 0 unless it has to be a single zone
+  std::map<Index, uint32_t> slots_by_zone;  // key 0 for all zones unless single_zone
   for (const PlacementCandidate& candidate : candidates)
     slots_by_zone[job.spec.single_zone ? machines_[candidate.machine].zone : 0] += candidate.slots;
   const auto largest =
@@ -134,14 +138,14 @@
     if (job.spec.single_zone && machine.zone != largest->first) continue;
     for (uint32_t k = 0; k < candidate.slots && left > 0; ++k, --left) {
       machine.used += job.spec.per_task;
-      reserved_.push_back({machine.index, job.spec.per_task});
+      reserved_slots_.push_back({machine.index, job.spec.per_task});
     }
   }
 }
 
 void GangPlacement::release_reserved_capacity() {
-  for (const ReservedSlot& slot : reserved_) machines_[slot.machine].used -= slot.per_task;
-  reserved_.clear();
+  for (const ReservedSlot& slot : reserved_slots_) machines_[slot.machine].used -= slot.per_task;
+  reserved_slots_.clear();
 }
 
 }  // namespace rookdyke
--- a/src/placement/gang_placement.h
+++ b/src/placement/gang_placement.h
@@ -1,8 +1,8 @@
 #pragma once
-// Places gangs: all tasks of a gang at once or none, and replacements for a gang that still
-// gathers. Owns the capacity reserved for gangs that lack some of it, which counts as used on the
-// machines until the end of the round. Writes JobPlacement::last_start of gangs and proposes
-// attempts through TaskLifecycle. Called by Placement.
+// Places gangs: all tasks of a gang at once or none, and replacements for lost tasks of a gang that
+// still waits for all its tasks to start. Owns the capacity reserved for gangs that do not fit yet,
+// which counts as used on the machines until the end of the round. Sets JobPlacement::last_start of
+// gangs and proposes attempts through TaskLifecycle. Called by Placement.
 
 #include <cstdint>
 #include <vector>
@@ -31,15 +31,16 @@
         eligibility_(eligibility),
         search_(search) {}
 
-  // Starts all tasks of the gang, whatever is left of the round's budget; or reserves what capacity
-  // there is for it, if it has waited. Of a gang that gathers, starts the tasks that it lacks.
+  // Starts all tasks of the gang, even if they exceed the round's budget. If they do not fit and
+  // the gang has waited long enough, reserves the free capacity for it. For a gang that still
+  // waits for all its tasks to start, starts replacements of lost tasks.
   PlacementOutcome place(Job& job, PlacementRound& round, ImageLocality locality);
-  // Takes back all reserved capacity: at the end of every round.
+  // Releases all reserved capacity. Called at the end of every round.
   void release_reserved_capacity();
 
  private:
   using Candidates = std::vector<PlacementCandidate>;
-  // One machine per task, in the order of the tasks; empty if there are too few.
+  // One machine per task, in task order; empty if the tasks do not all fit.
   struct Selection {
     std::vector<Index> machines;
     double worst_score = 0;
@@ -61,7 +62,7 @@
   TaskLifecycle& lifecycle_;
   const Eligibility& eligibility_;
   PlacementSearch& search_;
-  std::vector<ReservedSlot> reserved_;
+  std::vector<ReservedSlot> reserved_slots_;
 };
 
 }  // namespace rookdyke
--- a/src/placement/job_queue.cpp
+++ b/src/placement/job_queue.cpp
@@ -7,16 +7,20 @@
 
 namespace {
 
-// In seconds of age: a promise of a prompt start goes before anything else of its priority.
-constexpr double kStartPromisePrecedenceS = 1e6;
-// A promise of a start that queueing can keep is kept by going first for the last part of its time.
+// Urgencies are in seconds of age.
+
+// A job with a prompt start-time objective precedes all other jobs of its priority.
+constexpr double kPromptStartPrecedenceS = 1e6;
+// A job with a longer start-time objective, which its position in the queue can meet, precedes
+// most jobs of its priority once less than kDueSoonS is left.
 constexpr double kDueSoonS = 40;
 constexpr double kDueSoonPrecedenceS = 1e5;
-// In seconds of age: how far the largest job ranks behind small ones.
+// Upper bound of the penalty for a job's remaining work.
 constexpr double kMaxShortJobPreferenceS = 150;
-// A job of which nothing was started for this long goes before everything, whatever its class,
-// priority and size: the users' largest jobs have to begin within four minutes. An array then gets
-// a part of its tasks, and its turn begins anew.
+// A job that started no task for this long is starved and precedes all other jobs, regardless of
+// class, priority and size, because the users' largest jobs have to start within four minutes. A
+// starved array starts a part of its tasks (its starvation allowance) and its waiting time begins
+// again.
 constexpr double kStarvedAfterS = 120;
 constexpr double kUnlimited = 1e18;
 
@@ -27,7 +31,7 @@
   Index job;
 };
 
-bool goes_before(const QueueEntry& a, const QueueEntry& b) {
+bool precedes(const QueueEntry& a, const QueueEntry& b) {
   if (a.starved != b.starved) return a.starved;
   if (!a.starved) {
     if (a.guaranteed != b.guaranteed) return a.guaranteed;
@@ -55,8 +59,8 @@
   return now - waiting_since(job) > kStarvedAfterS;
 }
 
-// What of each team's unfinished jobs, oldest first, fits within its guarantee.
-void JobQueue::find_guaranteed() {
+// Marks the unfinished jobs of each team, oldest first, that fit within the team's guarantee.
+void JobQueue::update_guaranteed() {
   for (const TeamQuota& quota : settings_.teams) {
     if (quota.cpus <= 0 && quota.gpus <= 0) continue;
     const Index team = catalog_.teams.find(quota.name);
@@ -73,18 +77,19 @@
   }
 }
 
-// The order among jobs of equal priority, smallest first. A class that is promised a prompt start
-// goes by when that promise runs out. All others, and those that missed it, go by age, yet a job
-// with much work left ranks behind small ones: of a queue that cannot all be in time, most are
-// then.
+// Sort key among jobs of equal priority, lowest first. Jobs with a prompt start-time objective are
+// ordered by the time left to meet it. Other jobs, and those that missed their objective, are
+// ordered by age; remaining work moves a job back, so that most jobs of a queue are in time if not
+// all can be.
 double JobQueue::urgency(const Job& job, double now) const {
-  // What waits of a service is a replica that is missing now, however old the service is.
+  // Waiting tasks of a service are missing replicas: they wait since a replica last ended, however
+  // old the service is.
   if (job.is_service())
-    return std::max(job.seen_at, job.missing_since) - now - kStartPromisePrecedenceS;
+    return std::max(job.seen_at, job.missing_since) - now - kPromptStartPrecedenceS;
   const double age = now - job.seen_at;
   for (const double within : job.start_within) {
     if (within <= age) continue;
-    if (job.has_start_promise) return within - age - kStartPromisePrecedenceS;
+    if (job.has_start_promise) return within - age - kPromptStartPrecedenceS;
     if (within - age < kDueSoonS) return within - age - kDueSoonPrecedenceS;
   }
   const double left = (job.tasks() - job.done_count) * job.share * job.spec.expected_runtime_s;
@@ -92,7 +97,7 @@
 }
 
 void JobQueue::rebuild(double now) {
-  find_guaranteed();
+  update_guaranteed();
   std::vector<QueueEntry> entries;
   entries.reserve(jobs_.count());
   smallest_request_ = {kUnlimited, kUnlimited, kUnlimited};
@@ -105,7 +110,7 @@
     smallest_request_ = component_wise_min(smallest_request_, job->spec.per_task);
   }
   std::sort(entries.begin(), entries.end(),
-            [](const QueueEntry& a, const QueueEntry& b) { return goes_before(a, b); });
+            [](const QueueEntry& a, const QueueEntry& b) { return precedes(a, b); });
   order_.clear();
   for (const QueueEntry& entry : entries) order_.push_back(entry.job);
 }
--- a/src/placement/job_queue.h
+++ b/src/placement/job_queue.h
@@ -1,10 +1,10 @@
 #pragma once
-// The order in which jobs with waiting tasks are placed. Owns the order of the current round and
-// writes the jobs' rank in it (JobPlacement::guaranteed, JobPlacement::urgency). Rebuilt by
-// Placement at the start of every round; read by the parts that place, preempt and reserve.
+// The order in which jobs with waiting tasks are placed in a round. Sets the jobs' sort keys
+// JobPlacement::guaranteed and JobPlacement::urgency. Placement rebuilds the queue at the start of
+// every round; the classes that place, preempt and reserve read it.
 //
-// Starved jobs come first, then those within their team's guarantee, then by priority; among
-// equals the most urgent one comes first. The order is total: equal urgency goes by job index.
+// Starved jobs come first. Other jobs are ordered by whether they are within their team's
+// guarantee, then by priority. Ties are broken by urgency (lowest value first), then by job index.
 
 #include <vector>
 
@@ -22,22 +22,22 @@
   JobQueue(const Settings& settings, const Catalog& catalog, JobTable& jobs)
       : settings_(settings), catalog_(catalog), jobs_(jobs) {}
 
-  // Ranks all open jobs that have waiting tasks and may start them now.
+  // Orders all open jobs that have waiting tasks and may start them now.
   void rebuild(double now);
 
-  // The jobs to place, first one first, as of the last rebuild.
+  // Job indices in the order of placement, as of the last rebuild.
   const std::vector<Index>& order() const { return order_; }
-  // The smallest amount of each resource that any waiting task requests, as of the last rebuild;
-  // very large if none waits.
+  // The minimum of each resource over the requests of all waiting tasks, as of the last rebuild;
+  // very large if no task waits.
   const Resources& smallest_request() const { return smallest_request_; }
 
-  // Since when the job has waited: its acceptance, or the last start of a task of it.
+  // The time since which the job has waited: its acceptance or the last start of one of its tasks.
   static double waiting_since(const Job& job);
-  // Whether nothing of the job was started for so long that it goes before everything else.
+  // Whether the job has waited beyond its limit, so that it precedes all jobs that have not.
   static bool is_starved(const Job& job, double now);
 
  private:
-  void find_guaranteed();
+  void update_guaranteed();
   double urgency(const Job& job, double now) const;
 
   const Settings& settings_;
--- a/src/placement/machine_reservations.h
+++ b/src/placement/machine_reservations.h
@@ -1,8 +1,8 @@
 #pragma once
-// Machines reserved for a single job: nothing else is begun on them, and no room is made there for
-// others, until the reservation expires. The only place that writes Machine::reserved_for and
-// Machine::reserved_until; owns the count of machines reserved in this round. Called by Placement,
-// for jobs that have waited, and by Preemption, for the job that it makes room for.
+// Reserves machines for single jobs: until a reservation expires, no other job starts or preempts
+// tasks on the machine. The only class that writes Machine::reserved_for and
+// Machine::reserved_until; counts the machines reserved in the current round. Called by Placement
+// for jobs that have waited, and by Preemption for the job that it frees capacity for.
 
 #include <cstddef>
 #include <cstdint>
@@ -26,36 +26,37 @@
                       WorkCounters& work)
       : jobs_(jobs), machines_(machines), eligibility_(eligibility), work_(work) {}
 
-  // Drops reservations that have expired, or whose job has nothing waiting.
+  // Removes reservations that have expired or whose job has no waiting tasks.
   void start_round(double now);
-  // Reserves machines for a gang or a large task that has waited, those that come free first. Jobs
-  // have to come in the queue's order: together they get a limited share of the machines, but the
-  // first one always gets all it needs.
+  // Reserves the machines that become free first for a gang or a large task that has waited. Must
+  // be called in queue order: all jobs together may reserve a limited share of the machines, but
+  // the first job always gets all it needs.
   void reserve_for_waiting(Job& job, const PlacementRound& round);
 
-  // Reserves the machine for the job, until that moment.
+  // Reserves the machine for the job until the given time.
   static void reserve(Machine& machine, const Job& job, double until);
-  // How many machines are reserved for the job.
+  // Number of machines that are reserved for the job.
   uint32_t count_active(const Job& job, double now) const;
 
  private:
-  struct FreeingMachine {
-    double at = 0;  // when it has room for a task of the job
+  struct MachineAvailability {
+    double available_at = 0;  // time at which a task of the job is expected to fit
     Index machine = kNone;
   };
 
   static bool may_reserve(const Job& job, double now);
-  size_t extend(const Job& job, double now);
+  size_t renew(const Job& job, double now);
   bool exceeds_limit(size_t more, size_t ready_machines) const;
-  double frees_at(const Job& job, const Machine& machine, double now) const;
-  std::vector<FreeingMachine> find_freeing_machines(const Job& job, double now);
-  Index zone_for(const Job& job, const std::vector<FreeingMachine>& machines, size_t wanted) const;
+  double estimate_available_at(const Job& job, const Machine& machine, double now) const;
+  std::vector<MachineAvailability> find_available_machines(const Job& job, double now);
+  Index select_zone(const Job& job, const std::vector<MachineAvailability>& machines,
+                    size_t wanted) const;
 
   const JobTable& jobs_;
   MachineTable& machines_;
   const Eligibility& eligibility_;
   WorkCounters& work_;
-  size_t reserved_ = 0;  // in this round, for jobs that have waited
+  size_t reserved_in_round_ = 0;  // machines reserved in this round for jobs that have waited
 };
 
 }  // namespace rookdyke
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -6,26 +6,28 @@
 
 namespace {
 
-// Tasks started in one round at most, plus a share of the backlog: batches widen with the load.
+// A round starts at most kBaseBudget + backlog / kBacklogDivisor tasks, so that batches grow with
+// the load.
 constexpr int kBaseBudget = 64;
 constexpr size_t kBacklogDivisor = 8;
-// Preemption is no more frequent than this.
+// Shortest interval between two rounds that preempt.
 constexpr double kPreemptionIntervalS = 0.2;
-// In seconds of urgency: how far an array whose image is on a machine with room may go before
-// others; and how many arrays are tried.
+// An array may be placed on machines that have its image ahead of the first array in the queue, if
+// their urgencies (see JobQueue) differ by no more than this window. At most kMaxLocalityJobs
+// arrays are tried.
 constexpr double kLocalityWindowS = 80;
 constexpr int kMaxLocalityJobs = 32;
 
-// Whether the job keeps its turn in the queue, whatever images are where.
-bool keeps_its_turn(const Job& job, double now) {
+// Whether the job is placed strictly in queue order, regardless of image locality.
+bool keeps_queue_position(const Job& job, double now) {
   return job.is_gang() || job.has_start_promise || JobQueue::is_starved(job, now);
 }
 
-// Whether the job may go before the first array for the sake of its image.
-bool may_overtake(const Job& job, const Job& first) {
-  return job.spec.priority == first.spec.priority &&
-         job.placement.guaranteed == first.placement.guaranteed &&
-         job.placement.urgency <= first.placement.urgency + kLocalityWindowS;
+// Whether the job may be placed before the first array in the queue to use a cached image.
+bool may_overtake(const Job& job, const Job& first_array) {
+  return job.spec.priority == first_array.spec.priority &&
+         job.placement.guaranteed == first_array.placement.guaranteed &&
+         job.placement.urgency <= first_array.placement.urgency + kLocalityWindowS;
 }
 
 }  // namespace
@@ -66,46 +68,47 @@
   round.now = now;
   round.budget = kBaseBudget + static_cast<int>(backlog / kBacklogDivisor);
   round.ready_machines = count_ready_machines();
-  round.may_preempt = is_preemption_due(now);
+  round.preemption_due = is_preemption_due(now);
   return round;
 }
 
 void Placement::place(double now, size_t backlog) {
   PlacementRound round = start_round(now, backlog);
-  const Job* first = place_by_image(round);
-  place_in_order(round, first);
+  const Job* first_array = place_by_image_locality(round);
+  place_in_order(round, first_array);
   gangs_.release_reserved_capacity();
 }
 
-// Arrays go where their image is first, whichever of the most urgent ones that helps: a fetch takes
-// as long as many of their tasks run. Within bounds of age, and never before higher ranks. Returns
-// the first of these arrays, null if there is none; all jobs before it have been placed.
-const Job* Placement::place_by_image(PlacementRound& round) {
-  const Job* first = nullptr;
+// Places the most urgent arrays on machines that already have their image, because an image fetch
+// takes as long as many of their tasks run. An array overtakes others only within kLocalityWindowS
+// and never jobs of higher priority. Returns the first array in the queue, or null if there is
+// none; all jobs before it have been placed.
+const Job* Placement::place_by_image_locality(PlacementRound& round) {
+  const Job* first_array = nullptr;
   int tried = 0;
   for (const Index index : queue_.order()) {
     if (round.budget <= 0) break;
     Job& job = jobs_[index];
-    ++work_.jobs_looked_at;
-    if (keeps_its_turn(job, round.now)) {
-      if (first) continue;  // after arrays that go before it
+    ++work_.jobs_examined;
+    if (keeps_queue_position(job, round.now)) {
+      if (first_array) continue;  // place_in_order() places it after the arrays before it
       place_job(job, round);
       continue;
     }
-    if (!first) first = &job;
-    if (!may_overtake(job, *first) || ++tried > kMaxLocalityJobs) break;
+    if (!first_array) first_array = &job;
+    if (!may_overtake(job, *first_array) || ++tried > kMaxLocalityJobs) break;
     arrays_.place(job, round, ImageLocality::required);
   }
-  return first;
+  return first_array;
 }
 
-// Places all jobs from the first one on.
-void Placement::place_in_order(PlacementRound& round, const Job* first) {
+// Places the jobs in queue order, beginning with `first_array`.
+void Placement::place_in_order(PlacementRound& round, const Job* first_array) {
   bool reached = false;
   for (const Index index : queue_.order()) {
     if (round.budget <= 0) break;
     Job& job = jobs_[index];
-    reached = reached || &job == first;
+    reached = reached || &job == first_array;
     if (reached && !job.waiting.empty()) place_job(job, round);
   }
 }
@@ -117,11 +120,11 @@
 }
 
 void Placement::place_job(Job& job, PlacementRound& round) {
-  ++work_.jobs_looked_at;
+  ++work_.jobs_examined;
   const ImageLocality locality = search_.needed_locality(job, round.now);
   const PlacementOutcome outcome = start_tasks(job, round, locality);
-  if (outcome != PlacementOutcome::lacks_machines || !round.may_preempt) return;
-  preemption_.make_room(job, round.now, locality);
+  if (outcome != PlacementOutcome::insufficient_capacity || !round.preemption_due) return;
+  preemption_.free_capacity_for(job, round.now, locality);
   if (locality != ImageLocality::required) reservations_.reserve_for_waiting(job, round);
 }
 
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,14 +1,15 @@
 #pragma once
-// Coordinates one round of placement: ranks the jobs, starts what there is room for, and makes or
-// reserves room for what there is none for. Owns the parts of placement and when preemption is next
-// due. Called by Scheduler once a round, after machines and jobs are up to date.
+// Coordinates placement in a scheduling round: orders the jobs, starts the tasks that fit, and
+// preempts tasks or reserves machines for jobs that do not fit. Owns the classes listed below and
+// the time of the next preemption. Called by Scheduler once per round, after the states of machines
+// and jobs have been updated.
 //
 // JobQueue              the order of the jobs
-// PlacementSearch       machines with room for a job, scored
+// PlacementSearch       finds and scores machines with free capacity for a job
 // ArrayPlacement, GangPlacement, ServicePlacement
-//                       start the tasks of a job of that shape
-// Preemption            stops tasks to make room
-// MachineReservations   machines kept for a single job
+//                       start the tasks of jobs of the respective shape
+// Preemption            stops running tasks to free capacity for a job
+// MachineReservations   machines reserved for a single job
 
 #include <cstddef>
 
@@ -39,16 +40,18 @@
             MachineTable& machines, const TeamUsage& team_usage, TaskLifecycle& lifecycle,
             const Eligibility& eligibility, WorkCounters& work);
 
-  // One round. `backlog`: waiting tasks and unsent transactions, which widen the round's budget.
+  // Runs one round. `backlog` is the number of waiting tasks and unsent transactions; the round's
+  // budget grows with it.
   void place(double now, size_t backlog);
 
  private:
   PlacementRound start_round(double now, size_t backlog);
-  const Job* place_by_image(PlacementRound& round);
-  void place_in_order(PlacementRound& round, const Job* first);
+  const Job* place_by_image_locality(PlacementRound& round);
+  void place_in_order(PlacementRound& round, const Job* first_array);
   void place_job(Job& job, PlacementRound& round);
   PlacementOutcome start_tasks(Job& job, PlacementRound& round, ImageLocality locality);
   size_t count_ready_machines() const;
+  // Also schedules the next preemption if one is due.
   bool is_preemption_due(double now);
 
   JobTable& jobs_;
--- a/src/placement/placement_round.h
+++ b/src/placement/placement_round.h
@@ -1,6 +1,6 @@
 #pragma once
-// What the parts of placement pass to each other within one round of decisions. A round object is
-// made by Placement and lives no longer than the round.
+// Types that the classes of placement exchange within one scheduling round. Placement creates a
+// PlacementRound at the start of each round; it is not kept beyond the round.
 
 #include <cstddef>
 #include <cstdint>
@@ -8,23 +8,22 @@
 namespace rookdyke {
 
 struct PlacementRound {
-  double now = 0;             // in seconds, on the leader's steady clock
-  int budget = 0;             // tasks that may still be started; negative after a large gang
-  size_t ready_machines = 0;  // in the state `ready`, whether or not they take work
-  bool may_preempt = false;   // preemption and machine reservations are due
+  double now = 0;               // seconds on the leader's steady clock
+  int budget = 0;               // tasks that may still be started; negative after a large gang
+  size_t ready_machines = 0;    // machines in state `ready`, including those that accept no tasks
+  bool preemption_due = false;  // whether this round may preempt tasks and reserve machines
 };
 
-// How an attempt to place a job's waiting tasks ended. Only a lack of machines is a reason to
-// preempt others.
+// Result of placing a job's waiting tasks. Only insufficient_capacity justifies preemption.
 enum class PlacementOutcome : uint8_t {
-  placed,         // nothing of the job waits any more
-  held_back,      // by the round's budget, its team's limit, or its own state
-  lacks_machines  // tasks wait that no machine has room for
+  placed,                // the job has no waiting tasks left
+  limited,               // by the round's budget, the team's limit, or the state of the job
+  insufficient_capacity  // no machine has enough free capacity for the tasks that still wait
 };
 
 enum class ImageLocality : uint8_t {
-  preferred,  // any machine; one that has the image scores better
-  required    // only a machine that has the image
+  preferred,  // any machine; a machine that has the image scores better
+  required    // only machines that have the image
 };
 
 }  // namespace rookdyke
--- a/src/placement/placement_search.cpp
+++ b/src/placement/placement_search.cpp
@@ -7,50 +7,54 @@
 
 namespace {
 
-// In seconds of fetch: how much rather a spot-tolerant task takes a spot machine, leaving the
-// ordinary ones to those that need them.
+// Scores are in seconds of image fetch.
+
+// Penalty of on-demand machines for tasks that may run on spot machines, which leaves on-demand
+// machines to tasks that need them.
 constexpr double kSpotPreferenceS = 4;
-// In seconds of fetch: how much rather a full machine is filled up than an empty one begun (bin
-// packing), so that machines empty together and can be returned.
+// Penalty of an empty machine compared with a full one (bin packing), so that machines become empty
+// and can be returned.
 constexpr double kPackingPreferenceS = 3;
-// Share of its fetch time: how much rather other work avoids a machine that holds the image of a
-// class that is promised a prompt start. A large image decides alone whether one is kept.
-constexpr double kPromisedImagePenalty = 0.5;
-// Share of its fetch time that a task waits if the same image is being fetched already.
-constexpr double kSharedFetch = 0.5;
-// What a start takes besides the fetch; and one on a machine that has the image, room being made
-// there.
+// Penalty of a machine that has the image of a job with a prompt start-time objective, for jobs
+// without one, as a fraction of that image's fetch time. For a large image, the fetch alone decides
+// whether the objective is met.
+constexpr double kPromptStartImagePenalty = 0.5;
+// Expected wait for an image that is already being fetched, as a fraction of its fetch time.
+constexpr double kSharedFetchFraction = 0.5;
+// Duration of a start without the image fetch, and of a start on a machine that has the image but
+// has to free capacity first.
 constexpr double kStartTimeS = 1.5;
 constexpr double kLocalStartTimeS = 3;
-// Absorbs the rounding of sums of decimal amounts.
+// Tolerance for rounding errors in sums of decimal amounts.
 constexpr double kSlack = 1e-9;
 
 }  // namespace
 
 void PlacementSearch::start_round(double now) {
-  open_.clear();
+  machines_with_capacity_.clear();
   unplaceable_.clear();
   for (const auto& machine : machines_) {
-    if (machine->state != MachineState::ready || !eligibility_.takes_work(*machine, now)) continue;
-    if (has_room(*machine)) open_.push_back(machine->index);
+    if (machine->state != MachineState::ready || !eligibility_.accepts_tasks(*machine, now))
+      continue;
+    if (fits_smallest_request(*machine)) machines_with_capacity_.push_back(machine->index);
   }
 }
 
-bool PlacementSearch::has_room(const Machine& machine) const {
+bool PlacementSearch::fits_smallest_request(const Machine& machine) const {
   return queue_.smallest_request().fits_in(eligibility_.free_resources(machine));
 }
 
 uint32_t PlacementSearch::slots_on(const Job& job, const Machine& machine) const {
-  Resources room = eligibility_.free_resources(machine);
+  Resources available = eligibility_.free_resources(machine);
   uint32_t slots = 0;
-  while (slots < job.waiting.size() && job.spec.per_task.fits_in(room)) {
-    room -= job.spec.per_task;
+  while (slots < job.waiting.size() && job.spec.per_task.fits_in(available)) {
+    available -= job.spec.per_task;
     ++slots;
   }
   return slots;
 }
 
-// How long a task of the job would wait for its image there, behind the fetches under way.
+// Expected wait of a task of the job for its image on the machine, including fetches in progress.
 double PlacementSearch::fetch_delay_s(const Job& job, const Machine& machine) const {
   if (machine.images.count(job.image)) return 0;
   const double fetch = catalog_.types[machine.type].fetch_time_s(job.spec.image_gb);
@@ -62,10 +66,10 @@
     if (other.attempts.at(task).state > AttemptState::fetching || machine.images.count(other.image))
       continue;
     same_image = same_image || other.image == job.image;
-    others += other.image != last;  // tasks of a job come together, so this counts images
+    others += other.image != last;  // tasks of a job are adjacent, so this counts images
     last = other.image;
   }
-  return same_image ? kSharedFetch * fetch : fetch * (1.0 + static_cast<double>(others));
+  return same_image ? kSharedFetchFraction * fetch : fetch * (1.0 + static_cast<double>(others));
 }
 
 double PlacementSearch::score(const Job& job, const Machine& machine) const {
@@ -75,7 +79,7 @@
   if (!job.has_start_promise)
     for (const auto& [image, held] : machine.images)
       if (image != job.image && catalog_.prompt_start_images.count(image))
-        score += kPromisedImagePenalty * type.fetch_time_s(held.size_gb);
+        score += kPromptStartImagePenalty * type.fetch_time_s(held.size_gb);
   const double filled = machine.used.dominant_share(type.size);
   return score + kPackingPreferenceS * (1 - filled);
 }
@@ -87,8 +91,8 @@
                      [&](const auto& task) { return jobs_[task.first].image == job.image; });
 }
 
-// A start that has to fetch its image may be sure to break the promise, while one on a machine that
-// has it can still keep it. Then only such a machine will do, for as long.
+// Requires the image while a start that fetches it would miss the next objective but a start on a
+// machine that has it can still meet the objective.
 ImageLocality PlacementSearch::needed_locality(const Job& job, double now) const {
   const double age = now - job.seen_at;
   if (!job.has_start_promise || !job.attempts.empty() || job.is_service())
@@ -104,7 +108,7 @@
   return ImageLocality::preferred;
 }
 
-bool PlacementSearch::is_known_full(const Job& job, uint32_t count) const {
+bool PlacementSearch::is_known_unplaceable(const Job& job, uint32_t count) const {
   const Resources& wanted = job.spec.per_task;
   return std::any_of(unplaceable_.begin(), unplaceable_.end(), [&](const UnplaceableRequest& r) {
     return job.zone == r.zone && job.spec.spot == r.spot && job.types == r.types &&
@@ -114,31 +118,31 @@
   });
 }
 
-void PlacementSearch::record_full(const Job& job, uint32_t count) {
+void PlacementSearch::record_unplaceable(const Job& job, uint32_t count) {
   unplaceable_.push_back(
       {job.spec.per_task, job.zone, job.types, job.spec.spot, job.spec.single_zone, count});
 }
 
 PlacementCandidates PlacementSearch::find(const Job& job, double now, ImageLocality locality) {
-  const bool must_be_local = locality == ImageLocality::required;
-  const bool bound_to_its_zone = job.spec.single_zone && !job.attempts.empty();
-  bool job_specific = job.spec.spread_zones || bound_to_its_zone || !job.failed_machines.empty();
+  const bool requires_image = locality == ImageLocality::required;
+  const bool zone_is_fixed = job.spec.single_zone && !job.attempts.empty();
+  bool job_specific = job.spec.spread_zones || zone_is_fixed || !job.failed_machines.empty();
   PlacementCandidates found;
-  for (size_t k = 0; k < open_.size();) {
-    const Machine& machine = machines_[open_[k]];
-    if (!has_room(machine)) {  // filled up in this round
-      open_[k] = open_.back();
-      open_.pop_back();
+  for (size_t k = 0; k < machines_with_capacity_.size();) {
+    const Machine& machine = machines_[machines_with_capacity_[k]];
+    if (!fits_smallest_request(machine)) {  // capacity was used up in this round
+      machines_with_capacity_[k] = machines_with_capacity_.back();
+      machines_with_capacity_.pop_back();
       continue;
     }
     ++k;
-    ++work_.machines_looked_at;
-    // What holds for this job alone must not tell other jobs that there is no room.
+    ++work_.machines_examined;
+    // A result that depends on this job must not be recorded as unplaceable for other jobs.
     job_specific =
         job_specific || machine.reserved_for != kNone || !machine.unanswered_starts.empty();
     if (!eligibility_.may_run(job, machine, now)) continue;
     const uint32_t slots = slots_on(job, machine);
-    if (slots == 0 || (must_be_local && !has_image(job, machine))) continue;
+    if (slots == 0 || (requires_image && !has_image(job, machine))) continue;
     if (!eligibility_.zone_allows(job, machine.zone, 1)) continue;
     found.machines.push_back({score(job, machine), machine.index, slots});
   }
@@ -147,7 +151,7 @@
               return std::tie(a.score, a.machine) < std::tie(b.score, b.machine);
             });
   found.job_specific = job_specific;
-  if (found.machines.empty() && !job_specific && !must_be_local) record_full(job, 1);
+  if (found.machines.empty() && !job_specific && !requires_image) record_unplaceable(job, 1);
   return found;
 }
 
--- a/src/placement/placement_search.h
+++ b/src/placement/placement_search.h
@@ -1,7 +1,8 @@
 #pragma once
-// Finds the machines that have room for a job's waiting tasks. Owns, for one round, the list of
-// machines with room and what earlier searches have shown to have none; changes no job and no
-// machine. Placement starts its round; the array, gang and service placements search through it.
+// Finds machines with enough free capacity for a job's waiting tasks. Keeps, for one round, the
+// list of machines with free capacity and the requests that were found to fit on no machine;
+// modifies neither jobs nor machines. Placement calls start_round(); the array, gang and service
+// placements search.
 
 #include <cstdint>
 #include <vector>
@@ -19,16 +20,16 @@
 
 namespace rookdyke {
 
-// A machine with room for tasks of one job.
+// A machine with free capacity for tasks of one job.
 struct PlacementCandidate {
-  double score = 0;  // in seconds of image fetch, smallest is best
+  double score = 0;  // in seconds of image fetch; lower is better
   Index machine = kNone;
-  uint32_t slots = 0;  // tasks that it has room for, at most those that wait
+  uint32_t slots = 0;  // tasks that fit, at most the number of waiting tasks
 };
 
 struct PlacementCandidates {
-  std::vector<PlacementCandidate> machines;  // best first; equal scores by machine index
-  // The job itself, not the machines' room, may be why there are few.
+  std::vector<PlacementCandidate> machines;  // by score, then by machine index
+  // Whether properties of the job, and not only free capacity, may have excluded machines.
   bool job_specific = false;
 };
 
@@ -44,27 +45,28 @@
         queue_(queue),
         work_(work) {}
 
-  // Lists the machines that take work and have room for the smallest waiting request: once a round,
-  // after the queue was rebuilt.
+  // Lists the machines that accept tasks and have free capacity for the smallest waiting request.
+  // Called once per round, after the queue has been rebuilt.
   void start_round(double now);
 
-  // All candidates for tasks of the job: one search serves all of its waiting tasks.
+  // Returns all candidates for tasks of the job; one search serves all of its waiting tasks.
   PlacementCandidates find(const Job& job, double now, ImageLocality locality);
 
-  // Whether a search in this round has shown already that there is no room for so many tasks.
-  bool is_known_full(const Job& job, uint32_t count) const;
-  // There is no room for so many tasks, for reasons that hold for other jobs as well.
-  void record_full(const Job& job, uint32_t count);
+  // Whether an earlier search in this round has found that `count` tasks with requirements like the
+  // job's do not fit.
+  bool is_known_unplaceable(const Job& job, uint32_t count) const;
+  // Records that `count` tasks of the job do not fit, for reasons that apply to other jobs as well.
+  void record_unplaceable(const Job& job, uint32_t count);
 
-  // Whether the job's image is on the machine, or under way for another of its tasks or jobs; for a
-  // promised start it has to be there.
+  // Whether the machine has the job's image or is fetching it for another task. For a job with a
+  // prompt start-time objective (Job::has_start_promise), only an image in the cache counts.
   bool has_image(const Job& job, const Machine& machine) const;
-  // What the start promise that is due next demands.
+  // The locality that the job needs to meet its next start-time objective.
   ImageLocality needed_locality(const Job& job, double now) const;
 
  private:
-  // A request that no machine has room for. Whatever requests as much of the same machines has no
-  // room either.
+  // A request that fits on no machine. Requests for at least as much of the same kind of machine do
+  // not fit either.
   struct UnplaceableRequest {
     Resources per_task;
     Index zone;
@@ -73,7 +75,7 @@
     uint32_t count;
   };
 
-  bool has_room(const Machine& machine) const;
+  bool fits_smallest_request(const Machine& machine) const;
   uint32_t slots_on(const Job& job, const Machine& machine) const;
   double score(const Job& job, const Machine& machine) const;
   double fetch_delay_s(const Job& job, const Machine& machine) const;
@@ -85,7 +87,7 @@
   const JobQueue& queue_;
   WorkCounters& work_;
 
-  std::vector<Index> open_;  // machines with room; unordered
+  std::vector<Index> machines_with_capacity_;  // unordered
   std::vector<UnplaceableRequest> unplaceable_;
 };
 
--- a/src/placement/preemption.h
+++ b/src/placement/preemption.h
@@ -1,8 +1,8 @@
 #pragma once
-// Makes room for a job by stopping tasks of lower priority, or of teams that use more than their
-// guarantee. Owns, for one round, what kind of job nothing can be preempted for. Stops attempts
-// through TaskLifecycle and reserves their machines through MachineReservations; the tasks are
-// placed in a later round, once the room is there. Called by Placement.
+// Frees capacity for a job by stopping tasks of lower priority, or of teams that use more than
+// their guarantee. Keeps, for one round, the requests for which nothing can be preempted. Stops
+// attempts through TaskLifecycle and reserves their machines through MachineReservations; the job's
+// tasks are placed in a later round, once the capacity is free. Called by Placement.
 
 #include <cstdint>
 #include <optional>
@@ -41,12 +41,13 @@
         reservations_(reservations),
         work_(work) {}
 
-  // Forgets what the last round found.
+  // Clears the results of the last round.
   void start_round() { unpreemptable_.clear(); }
 
-  // Makes room for the job's waiting tasks, for a few of an array's at a time, for a gang's all or
-  // none; room that is being made already counts.
-  void make_room(const Job& job, double now, ImageLocality locality);
+  // Preempts tasks to free capacity for the job's waiting tasks: for all tasks of a gang or none,
+  // for up to kMaxTasksPerPreemption tasks of other jobs. Machines already reserved for the job
+  // count towards this number.
+  void free_capacity_for(const Job& job, double now, ImageLocality locality);
 
  private:
   struct Victim {
@@ -54,13 +55,15 @@
     Index job = kNone;
     uint32_t task = 0;
   };
-  // A machine on which room for one task can be made. No victims: room comes there anyway.
+  // A machine on which capacity for one task can be freed. Without victims, the capacity is free or
+  // is being freed already.
   struct Candidate {
     double cost = 0;  // in seconds of lost work and weighted image fetch
     Index machine = kNone;
     std::vector<Victim> victims;
   };
-  // A kind of job that nothing can be preempted for: neither for others that need as much.
+  // A request for which nothing can be preempted. The same holds for other jobs of this priority
+  // that need at least as much.
   struct UnpreemptableRequest {
     Priority priority;
     Index zone;
@@ -72,12 +75,12 @@
 
   bool is_known_unpreemptable(const Job& job, uint32_t count) const;
   bool may_preempt(const Job& job, const Job& victim) const;
-  void collect_victims(const Job& job, const Machine& machine, double now, Resources& room,
+  void collect_victims(const Job& job, const Machine& machine, double now, Resources& available,
                        std::vector<Victim>& victims) const;
   std::optional<Candidate> candidate_on(const Job& job, const Machine& machine, double now,
                                         std::vector<Victim>& scratch) const;
   std::vector<Candidate> find_candidates(const Job& job, double now);
-  void keep_single_zone(std::vector<Candidate>& candidates, uint32_t count) const;
+  void restrict_to_single_zone(std::vector<Candidate>& candidates, uint32_t count) const;
   void preempt(const Job& job, const Candidate& candidate, double now);
 
   const Catalog& catalog_;
--- a/src/placement/replica_mover.cpp
+++ b/src/placement/replica_mover.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Of a service's replicas, the share that may be missing for a move; one in any case.
+// Share of a service's replicas that may be missing because of a move; one replica may always be.
 constexpr double kMaxMissingShare = 0.25;
-// A notice leaves no time to move replicas one after the other if it comes this soon.
-constexpr double kShortNoticeHeartbeats = 1.5;  // heartbeat intervals
+// In heartbeat intervals. A shorter notice leaves no time to move replicas one after the other.
+constexpr double kShortNoticeHeartbeats = 1.5;
 
 }  // namespace
 
@@ -34,15 +34,15 @@
 }
 
 bool ReplicaMover::may_move_replica(const Job& job) const {
-  const double most = std::max(1.0, kMaxMissingShare * job.tasks());
-  return missing_replicas(job) + 1 <= static_cast<uint32_t>(most);
+  const double max_missing = std::max(1.0, kMaxMissingShare * job.tasks());
+  return missing_replicas(job) + 1 <= static_cast<uint32_t>(max_missing);
 }
 
-// Whether one of its replicas could start at once on another machine.
-bool ReplicaMover::has_other_place(const Job& job, const Machine& from, double now) const {
+// Whether a replica of the service could start at once on another machine.
+bool ReplicaMover::has_alternative_machine(const Job& job, const Machine& from, double now) const {
   return std::any_of(machines_.begin(), machines_.end(), [&](const auto& machine) {
     if (machine->index == from.index || machine->state != MachineState::ready ||
-        !eligibility_.takes_work(*machine, now))
+        !eligibility_.accepts_tasks(*machine, now))
       return false;
     return eligibility_.may_run(job, *machine, now) &&
            job.spec.per_task.fits_in(eligibility_.free_resources(*machine)) &&
@@ -55,7 +55,7 @@
     Job& job = jobs_[j];
     Attempt& attempt = job.attempts.at(task);
     if (!job.is_service() || attempt.stop || attempt.state == AttemptState::proposed) continue;
-    if (!may_move_replica(job) || !has_other_place(job, machine, now)) continue;
+    if (!may_move_replica(job) || !has_alternative_machine(job, machine, now)) continue;
     lifecycle_.stop(job, attempt, 0);
   }
 }
--- a/src/placement/replica_mover.h
+++ b/src/placement/replica_mover.h
@@ -1,6 +1,7 @@
 #pragma once
-// Moves replicas of services off machines that are to go, few of a service at once, so that it
-// stays served meanwhile. Stops replicas through TaskLifecycle; placement starts them elsewhere.
+// Moves replicas of services off machines that are about to be returned or reclaimed, a few
+// replicas of a service at a time, so that the service stays available. Stops replicas through
+// TaskLifecycle; placement starts them on other machines.
 
 #include "model/job.h"
 #include "model/machine.h"
@@ -26,17 +27,18 @@
   bool holds_replicas(const Machine& machine) const;
   // Whether the machine holds replicas and nothing else.
   bool holds_only_replicas(const Machine& machine) const;
-  // The machine is to be returned: stops those replicas that may move now and that could start at
-  // once elsewhere.
+  // Stops the replicas on a machine that is to be returned, if their service tolerates a further
+  // missing replica and they can start on another machine at once.
   void move_replicas(const Machine& machine, double now);
-  // The cloud takes the replica's machine in so many seconds: stops it, at once where there is no
-  // time to move replicas one after the other.
+  // Handles a reclaim notice: the cloud reclaims the replica's machine in `notice_s` seconds. Stops
+  // the replica if its service tolerates a further missing replica, and in any case if the notice
+  // is too short to move replicas one after the other.
   void on_reclaim_notice(Job& job, Attempt& attempt, double notice_s);
 
  private:
   uint32_t missing_replicas(const Job& job) const;
   bool may_move_replica(const Job& job) const;
-  bool has_other_place(const Job& job, const Machine& from, double now) const;
+  bool has_alternative_machine(const Job& job, const Machine& from, double now) const;
 
   const Settings& settings_;
   const Eligibility& eligibility_;
--- a/src/placement/service_placement.cpp
+++ b/src/placement/service_placement.cpp
@@ -7,13 +7,15 @@
 
 namespace {
 
-// In seconds of image fetch: how much rather a replica takes a machine, or a zone, that holds one
-// fewer of its service. More than half a usual fetch, so that few share a machine without need;
-// less than a whole one, so that two of them rather share one that has the image.
+// Scores are in seconds of image fetch.
+
+// Penalty per replica of the same service on the machine, and in the zone. The machine penalty is
+// more than half of a usual fetch, so that replicas seldom share a machine needlessly, and less
+// than a whole fetch, so that two replicas share a machine that has the image rather than fetch it
+// again.
 constexpr double kMachineSpreadPenaltyS = 1.2;
 constexpr double kZoneSpreadPenaltyS = 0.2;
-// In seconds of image fetch: how much rather a replica takes a machine that the cloud does not
-// reclaim.
+// Penalty of spot machines, which the cloud may reclaim.
 constexpr double kSpotPenaltyS = 20;
 
 }  // namespace
@@ -46,13 +48,13 @@
   return score;
 }
 
-// Null: no candidate has room left in a zone where a replica may go.
+// Returns null if no candidate has a free slot in a zone where a replica may be placed.
 PlacementCandidate* ServicePlacement::best_candidate(const Job& job, Candidates& candidates,
                                                      const ReplicaSpread& spread) const {
   PlacementCandidate* best = nullptr;
   double best_score = 0;
   for (PlacementCandidate& candidate : candidates) {
-    if (best && candidate.score >= best_score) break;  // ordered by score, and nothing lowers it
+    if (best && candidate.score >= best_score) break;  // sorted, and penalties only raise scores
     if (candidate.slots == 0 ||
         !eligibility_.zone_allows(job, machines_[candidate.machine].zone, 1))
       continue;
@@ -65,17 +67,17 @@
 }
 
 PlacementOutcome ServicePlacement::place(Job& job, PlacementRound& round) {
-  // Its own limit, not the machines, holds it back.
-  if (!has_quota(job)) return PlacementOutcome::held_back;
-  if (search_.is_known_full(job, 1)) return PlacementOutcome::lacks_machines;
+  // The team's limit, not a lack of machines, prevents a start, so nothing is preempted.
+  if (!has_quota(job)) return PlacementOutcome::limited;
+  if (search_.is_known_unplaceable(job, 1)) return PlacementOutcome::insufficient_capacity;
   ReplicaSpread spread = spread_of(job);
-  // One that fails wherever it is started is tried with one replica at a time.
+  // A service that fails on every machine is retried with one replica at a time.
   uint32_t limit = UINT32_MAX;
   if (FaultDetector::is_faulty(job)) limit = spread.any_starting ? 0 : 1;
   PlacementCandidates found = search_.find(job, round.now, ImageLocality::preferred);
   while (!job.waiting.empty() && round.budget > 0 && limit > 0 && has_quota(job)) {
     PlacementCandidate* best = best_candidate(job, found.machines, spread);
-    if (!best) return PlacementOutcome::lacks_machines;
+    if (!best) return PlacementOutcome::insufficient_capacity;
     Machine& machine = machines_[best->machine];
     lifecycle_.propose(job, *job.waiting.begin(), job.highest_attempt + 1, machine,
                        JobQueue::is_starved(job, round.now), round.now);
@@ -86,7 +88,7 @@
     ++spread.by_zone[machine.zone];
     job.placement.last_start = round.now;
   }
-  return job.waiting.empty() ? PlacementOutcome::placed : PlacementOutcome::held_back;
+  return job.waiting.empty() ? PlacementOutcome::placed : PlacementOutcome::limited;
 }
 
 }  // namespace rookdyke
--- a/src/placement/service_placement.h
+++ b/src/placement/service_placement.h
@@ -1,6 +1,6 @@
 #pragma once
-// Places the replicas of services: each where it starts soonest and is apart from the others. Owns
-// nothing; writes JobPlacement::last_start of services and proposes attempts through TaskLifecycle.
+// Places the replicas of services where they start soonest, spread over machines and zones.
+// Stateless; sets JobPlacement::last_start of services and proposes attempts through TaskLifecycle.
 // Called by Placement.
 
 #include <cstdint>
@@ -29,13 +29,13 @@
         eligibility_(eligibility),
         search_(search) {}
 
-  // Starts as many missing replicas as there is room for, within the round's budget and the team's
-  // limit.
+  // Starts as many missing replicas as fit, within the round's budget and the team's limit.
   PlacementOutcome place(Job& job, PlacementRound& round);
 
  private:
   using Candidates = std::vector<PlacementCandidate>;
-  // Where the replicas of one service are, and whether any of them does not run yet.
+  // The number of replicas of one service per machine and per zone, and whether any replica is not
+  // running yet.
   struct ReplicaSpread {
     std::map<Index, uint32_t> by_machine, by_zone;
     bool any_starting = false;
--- a/src/placement/work_counters.h
+++ b/src/placement/work_counters.h
@@ -1,13 +1,14 @@
 #pragma once
-// How much work the scheduler's rounds did, for checks that it follows what changed and not the
-// size of everything. Owned by Scheduler; the parts of placement count into it.
+// Counters of the work done in scheduling rounds. Tests use them to check that the work of a round
+// grows with the number of changes and not with the size of the deployment. Owned by Scheduler;
+// incremented by the classes of placement.
 
 #include <cstdint>
 
 namespace rookdyke {
 
 struct WorkCounters {
-  uint64_t rounds = 0, jobs_looked_at = 0, machines_looked_at = 0;
+  uint64_t rounds = 0, jobs_examined = 0, machines_examined = 0;
 };
 
 }  // namespace rookdyke
--- a/tests/scenario/expectations.cpp
+++ b/tests/scenario/expectations.cpp
@@ -49,7 +49,7 @@
   const SimController* leader = world.leader();
   if (!leader) return {"nobody leads"};
   const Scheduler::Work& work = leader->scheduler()->work();
-  const double per_round = static_cast<double>(work.machines_looked_at + work.jobs_looked_at) /
+  const double per_round = static_cast<double>(work.machines_examined + work.jobs_examined) /
                            static_cast<double>(std::max<uint64_t>(1, work.rounds));
   return found_unless(per_round <= line.number(3), std::to_string(per_round));
 }
