--- a/src/placement/job_queue.cpp
+++ b/src/placement/job_queue.cpp
@@ -9,7 +9,8 @@
 
 // Urgencies are in seconds of age.
 
-// A job with a prompt start-time objective precedes all other jobs of its priority.
+// A job with a prompt start-time objective (shorter than the boot time of a machine) precedes all
+// other jobs of its priority.
 constexpr double kPromptStartPrecedenceS = 1e6;
 // A job with a longer start-time objective, which its position in the queue can meet, precedes
 // most jobs of its priority once less than kDueSoonS is left.
@@ -82,8 +83,8 @@
 // ordered by age; remaining work moves a job back, so that most jobs of a queue are in time if not
 // all can be.
 double JobQueue::urgency(const Job& job, double now) const {
-  // Waiting tasks of a service are missing replicas: they wait since a replica last ended, however
-  // old the service is.
+  // Waiting tasks of a service are missing replicas: their wait counts from when a replica last
+  // ended, however old the service is.
   if (job.is_service())
     return std::max(job.seen_at, job.missing_since) - now - kPromptStartPrecedenceS;
   const double age = now - job.seen_at;
