--- a/src/daemon/cancellation_gate.cpp
+++ b/src/daemon/cancellation_gate.cpp
@@ -20,10 +20,11 @@
   const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(timeout_s);
   // After a failed notification the ledger may still show how far the leader has read.
   changed_.wait_until(lock, until, [&] {
-    return stopped_ || known_.has(job, version) || (notifications_.at(job).tried && hopeless());
+    return stopped_ || known_.contains(job, version) ||
+           (notifications_.at(job).tried && hopeless());
   });
   if (--notifications_.at(job).waiting == 0) notifications_.erase(job);
-  return known_.has(job, version);
+  return known_.contains(job, version);
 }
 
 void CancellationGate::stop() {
--- a/src/daemon/cancellation_gate.h
+++ b/src/daemon/cancellation_gate.h
@@ -39,7 +39,9 @@
   // The holder of the leader key at the time of the row's write, or a later one, has that row.
   void acknowledge(const std::string& job, uint64_t version) { known_.acknowledge(job, version); }
   // Whether the cancellation in that version of the job's row may be confirmed.
-  bool is_known(const std::string& job, uint64_t version) const { return known_.has(job, version); }
+  bool is_known(const std::string& job, uint64_t version) const {
+    return known_.contains(job, version);
+  }
 
   // -- for users' requests
 
--- a/src/daemon/controller_state.cpp
+++ b/src/daemon/controller_state.cpp
@@ -107,17 +107,17 @@
 
 void ControllerState::on_renewal(state::Client::Renewal outcome, double sent, double now) {
   notice_stall(now);
-  lease_clock_.asked(sent);
+  lease_clock_.on_renewal_attempted(sent);
   if (!leads()) return;
   if (outcome == state::Client::Renewal::kept) {
-    lease_clock_.kept(sent);
-    cancellation_staleness_.proven(sent);
+    lease_clock_.on_renewed(sent);
+    cancellation_staleness_.advance_to(sent);
     if (role_ == Role::unconfirmed) set_role(Role::leading, "the lease is renewed");
   } else if (outcome == state::Client::Renewal::ended) {
     step_down(Role::follower, "the lease ended");
   } else if (!lease_runs(now)) {
     if (role_ == Role::leading) set_role(Role::unconfirmed, "the lease could not be renewed");
-    if (now - lease_clock_.kept_at() > kMaxUnconfirmedS)
+    if (now - lease_clock_.renewed_at() > kMaxUnconfirmedS)
       step_down(Role::follower, "unconfirmed for too long");
   }
 }
@@ -137,7 +137,7 @@
 // ---------------------------------------------------------------- lease
 
 void ControllerState::notice_stall(double now) {
-  const double stall_s = lease_clock_.stall(now);
+  const double stall_s = lease_clock_.detect_stall(now);
   if (stall_s <= 0) return;
   spdlog::warn("this process did not run for {:.1f} s", stall_s);
   // Others seemed silent because this process was.
@@ -147,7 +147,7 @@
 }
 
 bool ControllerState::lease_runs(double now) const {
-  return lease_clock_.runs(now, config_.lease_ttl_s);
+  return lease_clock_.is_unexpired(now, config_.lease_ttl_s);
 }
 
 bool ControllerState::lease_confirmed(double now) {
@@ -219,8 +219,8 @@
 // ---------------------------------------------------------------- cancellations
 
 bool ControllerState::knows_cancellations(double now) const {
-  return now - cancellation_staleness_.at() <=
-         staleness_limit(config_.scheduler.cancel_s, config_.scheduler.lease_s);
+  return now - cancellation_staleness_.known_until() <=
+         staleness_bound(config_.scheduler.cancel_s, config_.scheduler.lease_s);
 }
 
 bool ControllerState::must_publish_read_to(double now) const {
--- a/src/daemon/controller_state.h
+++ b/src/daemon/controller_state.h
@@ -69,7 +69,7 @@
   // Finds out whether this process was suspended; to be called several times a second.
   void notice_stall(double now);
   // The leader key was granted by a request that was sent then.
-  void on_lease_granted(double sent) { lease_clock_.kept(sent); }
+  void on_lease_granted(double sent) { lease_clock_.on_renewed(sent); }
   bool lease_runs(double now) const;
   // Leads, and the lease was asked for since the last stall.
   bool lease_confirmed(double now);
--- a/src/daemon/heartbeat_endpoint.cpp
+++ b/src/daemon/heartbeat_endpoint.cpp
@@ -69,7 +69,7 @@
                                                                        double now) {
   Scheduler* scheduler = state.scheduler();
   if (!state.leads() || !scheduler || scheduler->has_lost_leadership()) return std::nullopt;
-  const double staleness = now - state.cancellation_staleness().at();
+  const double staleness = now - state.cancellation_staleness().known_until();
   scheduler->allow_starts(state.role() == Role::leading || staleness < kMaxStalenessS);
   const HeartbeatReply out = scheduler->on_heartbeat(heartbeat, now);
   if (out.verdict == HeartbeatReply::Verdict::deposed) {
--- a/src/daemon/ledger_watcher.cpp
+++ b/src/daemon/ledger_watcher.cpp
@@ -142,7 +142,7 @@
   if (!ledger.leader().empty()) state->learn_leader(ledger.leader_version(), ledger.leader());
   const Scheduler* scheduler = state->scheduler();
   if (scheduler && scheduler->needs_round()) shared_.wakeups().scheduling.notify_one();
-  state->cancellation_staleness().proven(sent);
+  state->cancellation_staleness().advance_to(sent);
   if (state->leads() && ledger.leader_version() > state->fencing_token())
     state->step_down(Role::follower, "the leader key is another's");
   CancellationGate& gate = state->cancellation_gate();
--- a/src/daemon/peer_exchange.cpp
+++ b/src/daemon/peer_exchange.cpp
@@ -65,9 +65,9 @@
   if (!theirs) return;
   on_view(*theirs);
   auto state = shared_.lock();
-  state->cancellation_staleness().on_sibling_answer(peer.label(), theirs->incarnation,
-                                                    theirs->fencing_token, state->fencing_token(),
-                                                    sent, steady_now());
+  state->cancellation_staleness().on_peer_response(peer.label(), theirs->incarnation,
+                                                   theirs->fencing_token, state->fencing_token(),
+                                                   sent, steady_now());
 }
 
 mesh::View PeerExchange::view() {
--- a/src/daemon/stall_detector.cpp
+++ b/src/daemon/stall_detector.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr std::chrono::milliseconds kCheckInterval(250);
-static_assert(kCheckInterval < std::chrono::duration<double>(LeaseClock::kStall) / 2);
+static_assert(kCheckInterval < std::chrono::duration<double>(LeaseClock::kStallThresholdS) / 2);
 }  // namespace
 
 void StallDetector::run() {
--- a/src/leadership/cancellations.h
+++ b/src/leadership/cancellations.h
@@ -1,8 +1,8 @@
 #pragma once
-// Which cancellations may be confirmed to users, and up to which moment a leader has proof of
-// knowing every cancellation that was. The invariant that both keep, with its argument, is in
-// docs/design.md, "Cancellations". Pure: all moments are passed in, in seconds of the steady clock.
-// Not thread-safe: used under the owner's lock.
+// Tracks which cancellations may be confirmed to users, and the time up to which a leader knows
+// every confirmed cancellation. The invariant that both uphold, and the argument for it, are in
+// docs/design.md, "Cancellations". No function reads a clock: times are passed in, in seconds of
+// the steady clock. Not thread-safe: the owner's lock must be held.
 
 #include <algorithm>
 #include <cstdint>
@@ -14,26 +14,28 @@
 
 namespace rookdyke {
 
-// The cancellations that the acting leader is proven to know. No other is confirmed to a user: a
-// leader that cannot read the state service would go on answering workers, and never stop those
-// tasks.
+// The cancellations that the acting leader is certain to know. Only these are confirmed to users: a
+// leader that cannot read the state service keeps replying to heartbeats, and would never stop the
+// tasks of a cancellation that it does not know.
 class KnownCancellations {
  public:
-  // A leader has read the ledger up to this revision. What it has read, every later one has loaded.
+  // Records that a leader has read the ledger up to `revision`. Later leaders load the ledger, so
+  // they know at least as much.
   void read_to(uint64_t revision) {
     if (revision <= read_to_) return;
     read_to_ = revision;
     std::erase_if(acknowledged_, [this](const auto& e) { return e.second <= read_to_; });
   }
   uint64_t read_to() const { return read_to_; }
-  // The holder of the leader key at the time of the row's write, or a later one, has that row.
+  // Records that `version` of the job's row is known to the controller that held the leader key
+  // when the row was written, or to a later leader.
   void acknowledge(const std::string& job, uint64_t version) {
     if (version <= read_to_) return;
     uint64_t& known = acknowledged_[job];
     known = std::max(known, version);
   }
-  // Whether the cancellation in that version of the job's row may be confirmed.
-  bool has(const std::string& job, uint64_t version) const {
+  // Whether the cancellation in `version` of the job's row may be confirmed to users.
+  bool contains(const std::string& job, uint64_t version) const {
     if (version <= read_to_) return true;
     auto it = acknowledged_.find(job);
     return it != acknowledged_.end() && it->second >= version;
@@ -41,73 +43,80 @@
 
  private:
   uint64_t read_to_ = 0;
-  std::unordered_map<std::string, uint64_t> acknowledged_;  // by job: version of its row
+  std::unordered_map<std::string, uint64_t> acknowledged_;  // version of the row, by job
 };
 
-// The moment up to which a leader has proof of knowing every cancellation that was confirmed to a
-// user. A read of the ledger proves it; so does a renewed lease, since no cancellation is confirmed
-// without the holder of the leader key. In an outage the siblings prove it, if all of them do: one
-// that knows no higher token than this leader's, and was not restarted since an earlier proof, has
-// confirmed none without it.
+// The time up to which a leader knows every cancellation that was confirmed to a user. Three events
+// advance it:
+// - The leader reads the ledger.
+// - The leader renews its lease: no cancellation is confirmed without the holder of the leader key.
+// - During an outage of the state service, all peer controllers respond. A peer has confirmed no
+//   cancellation without this leader if it knows no higher fencing token and has not restarted
+//   since the last such event.
 class CancellationStaleness {
  public:
-  explicit CancellationStaleness(std::vector<std::string> siblings = {}, double now = -1e9)
-      : siblings_(std::move(siblings)), proven_(now) {}
+  explicit CancellationStaleness(std::vector<std::string> peers = {}, double now = -1e9)
+      : peers_(std::move(peers)), known_until_(now) {}
 
-  // The proof of a deployment's only controller, which is never out of date: nobody else confirms
-  // cancellations to users, and what its own predecessors confirmed was durable before that, so it
-  // was loaded with the ledger.
+  // For the only controller of a deployment, whose knowledge is never stale: no other controller
+  // confirms cancellations to users, and a cancellation that its predecessors confirmed was durable
+  // by then, so it was loaded with the ledger.
   static CancellationStaleness of_only_controller() {
     return CancellationStaleness({}, std::numeric_limits<double>::infinity());
   }
 
-  // The ledger was read, or the lease renewed, by a request that was sent then.
-  void proven(double sent) { proven_ = std::max(proven_, sent); }
-  // A sibling answered a request that was sent then. `incarnation` names its process (empty: not
-  // told), `fencing_token` is the highest that it knows, `ours` this controller's (0: none).
-  void on_sibling_answer(const std::string& sibling, const std::string& incarnation,
-                         uint64_t fencing_token, uint64_t ours, double sent, double now) {
-    SiblingProof& v = sibling_proofs_[sibling];
-    if (incarnation.empty() || v.incarnation != incarnation)
-      v = {incarnation, now, sent};  // nobody knows any more what its predecessor confirmed
-    v.until = std::max(v.until, sent);
-    v.fencing_token = fencing_token;
-    if (ours > 0) advance(ours);
+  // A request sent at `sent` has read the ledger or renewed the lease.
+  void advance_to(double sent) { known_until_ = std::max(known_until_, sent); }
+  // `peer` responded to a request sent at `sent`. `incarnation` identifies its process (empty: not
+  // given), `fencing_token` is the highest that it knows, `own_token` the one of this controller
+  // (0: none).
+  void on_peer_response(const std::string& peer, const std::string& incarnation,
+                        uint64_t fencing_token, uint64_t own_token, double sent, double now) {
+    PeerStatus& status = peer_statuses_[peer];
+    // What an earlier process of the peer confirmed is unknown.
+    if (incarnation.empty() || status.incarnation != incarnation) status = {incarnation, now, sent};
+    status.until = std::max(status.until, sent);
+    status.fencing_token = fencing_token;
+    if (own_token > 0) advance_from_peers(own_token);
   }
-  // The moment up to which there is proof.
-  double at() const { return proven_; }
+  // The time up to which every confirmed cancellation is known.
+  double known_until() const { return known_until_; }
 
  private:
-  struct SiblingProof {
+  struct PeerStatus {
     std::string incarnation;
+    // When this incarnation first responded, and when its latest request with a response was sent.
     double since = 0, until = 0;
     uint64_t fencing_token = 0;
   };
-  void advance(uint64_t ours) {
-    if (siblings_.empty()) return;
+  void advance_from_peers(uint64_t own_token) {
+    if (peers_.empty()) return;
     double until = 1e18;
-    for (const std::string& s : siblings_) {
-      auto it = sibling_proofs_.find(s);
-      if (it == sibling_proofs_.end()) return;
-      const SiblingProof& v = it->second;
-      if (v.incarnation.empty() || v.since > proven_ || v.fencing_token > ours) return;
-      until = std::min(until, v.until);
+    for (const std::string& peer : peers_) {
+      auto it = peer_statuses_.find(peer);
+      if (it == peer_statuses_.end()) return;
+      const PeerStatus& status = it->second;
+      if (status.incarnation.empty() || status.since > known_until_ ||
+          status.fencing_token > own_token)
+        return;
+      until = std::min(until, status.until);
     }
-    proven(until);
+    advance_to(until);
   }
 
-  std::vector<std::string> siblings_;
-  std::map<std::string, SiblingProof> sibling_proofs_;
-  double proven_;
+  std::vector<std::string> peers_;
+  std::map<std::string, PeerStatus> peer_statuses_;  // by label
+  double known_until_;
 };
 
-// For how many seconds past that moment a leader may keep workers' leases alive: the tasks of a job
-// that was cancelled without its knowledge end with their machine's lease, within cancel_s.
-inline double staleness_limit(double cancel_s, double lease_s) {
-  constexpr double kDrift = 1.001;  // steady clocks drift apart by up to 0.05%
-  constexpr double kDelayS = 1;     // of this process
-  constexpr double kLowestLimitS = 2;
-  return std::max(kLowestLimitS, cancel_s / kDrift - lease_s * kDrift - kDelayS);
+// The staleness bound in seconds: a leader extends workers' leases only while its knowledge of
+// cancellations is no older than this. The tasks of a job that was cancelled without its knowledge
+// then end with their machine's lease, within `cancel_s` of the cancellation.
+inline double staleness_bound(double cancel_s, double lease_s) {
+  constexpr double kDriftFactor = 1.001;  // steady clocks drift apart by up to 0.05%
+  constexpr double kProcessingDelayS = 1;
+  constexpr double kMinBoundS = 2;
+  return std::max(kMinBoundS, cancel_s / kDriftFactor - lease_s * kDriftFactor - kProcessingDelayS);
 }
 
 }  // namespace rookdyke
--- a/src/leadership/leadership_claim.h
+++ b/src/leadership/leadership_claim.h
@@ -1,6 +1,6 @@
 #pragma once
-// What a leader's scheduler knows of its own right to decide: its fencing token, and whether
-// something has shown that the right is gone. Single-threaded, like the scheduler that owns it.
+// The leadership of one scheduler: its fencing token, and whether the leadership has been found
+// lost. Single-threaded, like the scheduler that owns it.
 
 #include <spdlog/spdlog.h>
 
@@ -15,9 +15,10 @@
 
   uint64_t fencing_token() const { return fencing_token_; }
   bool is_lost() const { return lost_; }
-  // A newer leader has acted, or the ledger contradicts us. Final: the owner steps down.
+  // To be called when a newer leader has acted, or when the ledger contradicts the scheduler's
+  // state. Final: the owner steps down.
   void lose(const std::string& reason) {
-    if (!lost_) spdlog::warn("leadership given up: {}", reason);
+    if (!lost_) spdlog::warn("leadership lost: {}", reason);
     lost_ = true;
   }
 
--- a/src/leadership/lease_clock.h
+++ b/src/leadership/lease_clock.h
@@ -1,9 +1,9 @@
 #pragma once
-// Whether this process was suspended while its clocks ran on, and whether what it knows of its
-// lease may still be acted on. A process may be suspended in any line of its code for many times
-// its lease: what was read, decided or queued before that counts only once a renewal was tried
-// again. Pure: all moments are passed in, in seconds of the steady clock. Not thread-safe: used
-// under the owner's lock.
+// Detects that this process was suspended while the steady clock advanced, and tells whether the
+// leader lease may still be relied on. A process can be suspended at any point for many times the
+// length of its lease, so what was read, decided or queued before a suspension is valid only after
+// another attempt to renew the lease. No function reads a clock: times are passed in, in seconds of
+// the steady clock. Not thread-safe: the owner's lock must be held.
 
 #include <algorithm>
 
@@ -11,40 +11,43 @@
 
 class LeaseClock {
  public:
-  // The process counts as suspended if `stall` was not called for so many seconds; it is called
-  // several times a second.
-  static constexpr double kStall = 1;
-  // Steady clocks drift apart by up to 0.05%: the lease is taken to end early by more than that.
-  static constexpr double kDrift = 0.998;
+  // The process was suspended if detect_stall(), which runs several times a second, was not called
+  // for this long.
+  static constexpr double kStallThresholdS = 1;
+  // The part of the lease that is relied on. Steady clocks drift apart by up to 0.05%; this leaves
+  // a larger margin.
+  static constexpr double kUsableLeaseFraction = 0.998;
 
   explicit LeaseClock(double now = 0) : last_stall_check_(now), resumed_at_(now) {}
 
-  // For how many seconds the process was suspended until now; 0: it was not.
-  double stall(double now) {
+  // Returns the length in seconds of a suspension that ended just now, or 0.
+  double detect_stall(double now) {
     const double unchecked_s = now - last_stall_check_;
     last_stall_check_ = std::max(last_stall_check_, now);
-    if (unchecked_s < kStall) return 0;
+    if (unchecked_s < kStallThresholdS) return 0;
     resumed_at_ = now;
     return unchecked_s;
   }
-  // A renewal that was sent then succeeded; so did a grant that was asked for then.
-  void kept(double sent) {
-    kept_at_ = std::max(kept_at_, sent);
-    asked(sent);
+  // The request sent at `sent` has granted or renewed the lease.
+  void on_renewed(double sent) {
+    renewed_at_ = std::max(renewed_at_, sent);
+    on_renewal_attempted(sent);
   }
-  // A renewal that was sent then had some outcome.
-  void asked(double sent) {
-    if (sent > resumed_at_) asked_at_ = sent;
+  // The renewal sent at `sent` has succeeded or failed.
+  void on_renewal_attempted(double sent) {
+    if (sent > resumed_at_) attempted_at_ = sent;
   }
-  // When the last successful renewal was sent.
-  double kept_at() const { return kept_at_; }
-  // The lease of `ttl` seconds has not expired: nobody else leads.
-  bool runs(double now, double ttl) const { return now - kept_at_ < ttl * kDrift; }
-  // Whether a leader may go on answering its workers. Past the lease's expiry it may if renewals
-  // failed while the process ran: that is an outage. It may not if the process was suspended since
-  // the last renewal: another may have been elected.
+  // When the last successful request was sent.
+  double renewed_at() const { return renewed_at_; }
+  // Whether the lease of `ttl` seconds has not expired, so that no other controller leads.
+  bool is_unexpired(double now, double ttl) const {
+    return now - renewed_at_ < ttl * kUsableLeaseFraction;
+  }
+  // Whether a leader may continue to reply to heartbeats. After the lease has expired it may if
+  // renewals failed while the process was running (an outage of the state service), but not if the
+  // process was suspended after the last attempt: another leader may have been elected.
   bool lease_confirmed(double now, double ttl) const {
-    return runs(now, ttl) || asked_at_ > resumed_at_;
+    return is_unexpired(now, ttl) || attempted_at_ > resumed_at_;
   }
 
  private:
@@ -52,8 +55,8 @@
 
   double last_stall_check_;
   double resumed_at_;
-  double kept_at_ = kNever;
-  double asked_at_ = kNever;  // not before resumed_at_
+  double renewed_at_ = kNever;
+  double attempted_at_ = kNever;  // when the last renewal with an outcome was sent
 };
 
 }  // namespace rookdyke
--- a/src/leadership/role.h
+++ b/src/leadership/role.h
@@ -11,16 +11,16 @@
 enum class Role : uint8_t {
   follower,
   campaigning,
-  leading,      // holds the leader key as far as it can know
-  unconfirmed,  // leader whose lease could not be renewed in time: answers heartbeats, decides
-                // nothing
-  cooldown,     // gave up leadership; does not campaign for a while, so that another is elected
+  leading,      // holds the leader key, to its knowledge
+  unconfirmed,  // leader whose lease could not be renewed in time: replies to heartbeats, but makes
+                // no scheduling decisions
+  cooldown,     // resigned as leader; does not campaign for a while, so that a peer is elected
 };
 
 // The role's name for log lines.
 std::string_view to_string(Role role);
 
-// Whether a controller in that role answers heartbeats with its fencing token.
+// Whether a controller in this role replies to heartbeats with its fencing token.
 constexpr bool is_leader(Role role) { return role == Role::leading || role == Role::unconfirmed; }
 
 }  // namespace rookdyke
--- a/tests/scheduler/cancellations_test.cpp
+++ b/tests/scheduler/cancellations_test.cpp
@@ -67,18 +67,18 @@
 // A user hears of a cancellation only once a leader is known to know it.
 TEST(KnownCancellations, OnlyWhatALeaderReadOrAcknowledged) {
   KnownCancellations known;
-  EXPECT_FALSE(known.has("wk-000001", 12));
+  EXPECT_FALSE(known.contains("wk-000001", 12));
   known.read_to(11);
-  EXPECT_FALSE(known.has("wk-000001", 12));
+  EXPECT_FALSE(known.contains("wk-000001", 12));
   known.acknowledge("wk-000001", 12);
-  EXPECT_TRUE(known.has("wk-000001", 12));
-  EXPECT_FALSE(known.has("wk-000002", 12));
-  EXPECT_FALSE(known.has("wk-000001", 13));  // another row than the one that was acknowledged
+  EXPECT_TRUE(known.contains("wk-000001", 12));
+  EXPECT_FALSE(known.contains("wk-000002", 12));
+  EXPECT_FALSE(known.contains("wk-000001", 13));  // another row than the one that was acknowledged
   known.read_to(20);
-  EXPECT_TRUE(known.has("wk-000002", 20));
-  EXPECT_FALSE(known.has("wk-000002", 21));
+  EXPECT_TRUE(known.contains("wk-000002", 20));
+  EXPECT_FALSE(known.contains("wk-000002", 21));
   known.read_to(5);  // arrives late
-  EXPECT_TRUE(known.has("wk-000002", 20));
+  EXPECT_TRUE(known.contains("wk-000002", 20));
 }
 
 TEST(CancellationStaleness, AllSiblingsTogetherProveAsTheLedgerDoes) {
@@ -86,54 +86,54 @@
   constexpr uint64_t kOurs = 7;
   const auto answer = [&](const char* who, const char* process, uint64_t fencing_token,
                           double sent) {
-    h.on_sibling_answer(who, process, fencing_token, kOurs, sent, sent + 0.1);
+    h.on_peer_response(who, process, fencing_token, kOurs, sent, sent + 0.1);
   };
   answer("n1", "a", 7, 8);
   answer("n2", "b", 7, 8);
-  h.proven(10);
-  EXPECT_EQ(h.at(), 10);
+  h.advance_to(10);
+  EXPECT_EQ(h.known_until(), 10);
   answer("n1", "a", 7, 20);
-  EXPECT_EQ(h.at(), 10);  // the other may have confirmed one to a user meanwhile
+  EXPECT_EQ(h.known_until(), 10);  // the other may have confirmed one to a user meanwhile
   answer("n2", "b", 3, 21);
-  EXPECT_EQ(h.at(), 20);  // an older token than ours is no harm
+  EXPECT_EQ(h.known_until(), 20);  // an older token than ours is no harm
   answer("n1", "a", 8, 30);
   answer("n2", "b", 7, 30);
-  EXPECT_EQ(h.at(), 20);  // one knows of a newer leader
+  EXPECT_EQ(h.known_until(), 20);  // one knows of a newer leader
 }
 
 TEST(CancellationStaleness, ARestartedSiblingProvesNothingOfItsPredecessor) {
   CancellationStaleness h({"n1", "n2"});
   constexpr uint64_t kOurs = 7;
-  h.on_sibling_answer("n1", "a", 7, kOurs, 8, 8.1);
-  h.on_sibling_answer("n2", "b", 7, kOurs, 8, 8.1);
-  h.proven(10);
-  h.on_sibling_answer("n1", "a", 7, kOurs, 12, 12.1);
-  h.on_sibling_answer("n2", "b2", 7, kOurs, 12, 12.1);  // what b confirmed after 8 is unknown
-  EXPECT_EQ(h.at(), 10);
-  h.on_sibling_answer("n1", "a", 7, kOurs, 20, 20.1);
-  h.on_sibling_answer("n2", "b2", 7, kOurs, 20, 20.1);
-  EXPECT_EQ(h.at(), 10);
-  h.proven(25);  // the ledger answered: all before that is known
-  h.on_sibling_answer("n1", "a", 7, kOurs, 30, 30.1);
-  h.on_sibling_answer("n2", "b2", 7, kOurs, 31, 31.1);
-  EXPECT_EQ(h.at(), 30);
-  h.on_sibling_answer("n1", "", 7, kOurs, 40, 40.1);  // names no process
-  h.on_sibling_answer("n2", "b2", 7, kOurs, 40, 40.1);
-  EXPECT_EQ(h.at(), 30);
+  h.on_peer_response("n1", "a", 7, kOurs, 8, 8.1);
+  h.on_peer_response("n2", "b", 7, kOurs, 8, 8.1);
+  h.advance_to(10);
+  h.on_peer_response("n1", "a", 7, kOurs, 12, 12.1);
+  h.on_peer_response("n2", "b2", 7, kOurs, 12, 12.1);  // what b confirmed after 8 is unknown
+  EXPECT_EQ(h.known_until(), 10);
+  h.on_peer_response("n1", "a", 7, kOurs, 20, 20.1);
+  h.on_peer_response("n2", "b2", 7, kOurs, 20, 20.1);
+  EXPECT_EQ(h.known_until(), 10);
+  h.advance_to(25);  // the ledger answered: all before that is known
+  h.on_peer_response("n1", "a", 7, kOurs, 30, 30.1);
+  h.on_peer_response("n2", "b2", 7, kOurs, 31, 31.1);
+  EXPECT_EQ(h.known_until(), 30);
+  h.on_peer_response("n1", "", 7, kOurs, 40, 40.1);  // names no process
+  h.on_peer_response("n2", "b2", 7, kOurs, 40, 40.1);
+  EXPECT_EQ(h.known_until(), 30);
 }
 
 // Nobody else confirms cancellations there, so an outage of any length costs no work.
 TEST(CancellationStaleness, TheOnlyControllersProofIsNeverOutOfDate) {
   const CancellationStaleness only = CancellationStaleness::of_only_controller();
-  EXPECT_LT(1e6 - only.at(), staleness_limit(38, 18));
+  EXPECT_LT(1e6 - only.known_until(), staleness_bound(38, 18));
   const CancellationStaleness unheard({"n1"});
-  EXPECT_GT(1e6 - unheard.at(), staleness_limit(38, 18));
+  EXPECT_GT(1e6 - unheard.known_until(), staleness_bound(38, 18));
 }
 
 TEST(CancellationStaleness, LeasesEndWithinTheTimeToCancel) {
   for (const auto& [cancel, lease] : {std::pair{38.0, 18.0}, {46.5, 26.5}, {59.0, 29.0}})
-    EXPECT_LT(staleness_limit(cancel, lease) + lease * 1.0005, cancel * 0.9995);
-  EXPECT_GT(staleness_limit(20, 20), 0);
+    EXPECT_LT(staleness_bound(cancel, lease) + lease * 1.0005, cancel * 0.9995);
+  EXPECT_GT(staleness_bound(20, 20), 0);
 }
 
 }  // namespace
--- a/tests/scheduler/lease_clock_test.cpp
+++ b/tests/scheduler/lease_clock_test.cpp
@@ -9,25 +9,25 @@
 
 TEST(LeaseClock, WhatWasKnownBeforeAStallIsVoid) {
   LeaseClock clock(100);
-  clock.kept(100.1);
+  clock.on_renewed(100.1);
   EXPECT_TRUE(clock.lease_confirmed(100.5, 2.5));
-  EXPECT_EQ(clock.stall(100.6), 0);
-  EXPECT_EQ(clock.stall(101.5), 0);
+  EXPECT_EQ(clock.detect_stall(100.6), 0);
+  EXPECT_EQ(clock.detect_stall(101.5), 0);
   // An outage: renewals fail, and the process runs throughout. The lease is unconfirmed, but not by
   // a stall.
-  clock.asked(102);
-  EXPECT_EQ(clock.stall(102.4), 0);
-  EXPECT_FALSE(clock.runs(103, 2.5));
+  clock.on_renewal_attempted(102);
+  EXPECT_EQ(clock.detect_stall(102.4), 0);
+  EXPECT_FALSE(clock.is_unexpired(103, 2.5));
   EXPECT_TRUE(clock.lease_confirmed(103, 2.5));
   // The process is paused: nothing is sure until the lease has been asked for again.
-  EXPECT_NEAR(clock.stall(130), 27.6, 1e-9);
+  EXPECT_NEAR(clock.detect_stall(130), 27.6, 1e-9);
   EXPECT_FALSE(clock.lease_confirmed(130, 2.5));
-  clock.asked(129);  // an answer to what was sent before it resumed
+  clock.on_renewal_attempted(129);  // an answer to what was sent before it resumed
   EXPECT_FALSE(clock.lease_confirmed(130.1, 2.5));
-  clock.asked(130.05);
+  clock.on_renewal_attempted(130.05);
   EXPECT_TRUE(clock.lease_confirmed(130.2, 2.5));
-  clock.kept(130.3);
-  EXPECT_TRUE(clock.runs(132, 2.5));
+  clock.on_renewed(130.3);
+  EXPECT_TRUE(clock.is_unexpired(132, 2.5));
 }
 
 }  // namespace
--- a/tests/simulation/controller.cpp
+++ b/tests/simulation/controller.cpp
@@ -119,7 +119,7 @@
   revision_ = std::max(revision_, read.revision);
   heard_state_ = world_.clock.now;
   loaded_ = true;
-  cancellation_staleness_.proven(read.sent);
+  cancellation_staleness_.advance_to(read.sent);
   if (!ledger_cache_.leader().empty())
     highest_token_ = std::max(highest_token_, ledger_cache_.leader_version());
   if (scheduler_ && ledger_cache_.leader_version() > fencing_token_) step_down();
--- a/tests/simulation/controller_leadership.cpp
+++ b/tests/simulation/controller_leadership.cpp
@@ -22,7 +22,7 @@
 
 // As the daemon's (Controller::notice_stall, Controller::lease_confirmed).
 bool SimController::lease_confirmed() {
-  const double stall = lease_clock_.stall(world_.clock.now);
+  const double stall = lease_clock_.detect_stall(world_.clock.now);
   if (stall > 0) {
     if (scheduler_) scheduler_->on_process_stall(stall, world_.clock.now);
     heard_sibling_ = world_.clock.now;
@@ -37,7 +37,7 @@
 
 // As the daemon's (Controller::acts).
 bool SimController::may_decide() {
-  return lease_confirmed() && lease_clock_.runs(world_.clock.now, kLeaseTtl);
+  return lease_confirmed() && lease_clock_.is_unexpired(world_.clock.now, kLeaseTtl);
 }
 
 uint64_t SimController::known_token() const {
@@ -73,13 +73,14 @@
       },
       [this, renewal, lease = lease_, sent](bool ok) {
         lease_confirmed();
-        lease_clock_.asked(sent);
+        lease_clock_.on_renewal_attempted(sent);
         if (!scheduler_ || lease != lease_ || !ok) return;
         if (*renewal == Renewal::kept) {
-          lease_clock_.kept(sent);
-          cancellation_staleness_.proven(sent);
+          lease_clock_.on_renewed(sent);
+          cancellation_staleness_.advance_to(sent);
         }
-        const bool in_doubt_for_long = world_.clock.now - lease_clock_.kept_at() > kMaxUnconfirmed;
+        const bool in_doubt_for_long =
+            world_.clock.now - lease_clock_.renewed_at() > kMaxUnconfirmed;
         if (in_doubt_for_long || *renewal == Renewal::ended) step_down();
       });
 }
@@ -128,10 +129,10 @@
   if (!ledger_read || ledger_cache_.leader_version() != campaign.fencing_token) return;
   lease_confirmed();
   const double now = world_.clock.now;
-  if (now - campaign.began > kLeaseTtl * LeaseClock::kDrift) return;  // too late
+  if (now - campaign.began > kLeaseTtl * LeaseClock::kUsableLeaseFraction) return;  // too late
   fencing_token_ = campaign.fencing_token;
   lease_ = campaign.lease;
-  lease_clock_.kept(campaign.began);
+  lease_clock_.on_renewed(campaign.began);
   next_renewal_ = 0;
   scheduler_ = std::make_unique<Scheduler>(world_.settings, world_.types, fencing_token_, now);
   scheduler_->set_day_offset(0);
@@ -166,8 +167,8 @@
   known_cancellations_.read_to(view.read_to);
   highest_token_ = std::max(highest_token_, view.fencing_token);
   if (scheduler_ && view.fencing_token > fencing_token_) step_down();
-  cancellation_staleness_.on_sibling_answer(sibling.label_, view.incarnation, view.fencing_token,
-                                            fencing_token_, sent, world_.clock.now);
+  cancellation_staleness_.on_peer_response(sibling.label_, view.incarnation, view.fencing_token,
+                                           fencing_token_, sent, world_.clock.now);
 }
 
 }  // namespace rookdyke::test
--- a/tests/simulation/controller_requests.cpp
+++ b/tests/simulation/controller_requests.cpp
@@ -35,8 +35,8 @@
   // After a stall it does not know yet whether it still leads.
   if (!lease_confirmed()) return false;
   // Jobs may have been cancelled without its knowledge.
-  const double stale = now - cancellation_staleness_.at();
-  return stale <= staleness_limit(world_.settings.cancel_s, world_.settings.lease_s);
+  const double stale = now - cancellation_staleness_.known_until();
+  return stale <= staleness_bound(world_.settings.cancel_s, world_.settings.lease_s);
 }
 
 HeartbeatAnswer SimController::on_heartbeat(const Heartbeat& heartbeat) {
@@ -44,8 +44,8 @@
   const double now = world_.clock.now;
   if (scheduler_ && !may_answer_workers()) return answer;
   if (scheduler_)
-    scheduler_->allow_starts(lease_clock_.runs(now, kLeaseTtl) ||
-                             now - cancellation_staleness_.at() < kMaxStaleness);
+    scheduler_->allow_starts(lease_clock_.is_unexpired(now, kLeaseTtl) ||
+                             now - cancellation_staleness_.known_until() < kMaxStaleness);
   if (scheduler_ && !scheduler_->has_lost_leadership()) {
     const HeartbeatReply reply = scheduler_->on_heartbeat(heartbeat, now);
     if (reply.verdict != HeartbeatReply::Verdict::deposed) {
@@ -181,7 +181,7 @@
                                           const std::function<void(bool)>& then) {
   const CachedJob* job = ledger_cache_.job(id);
   if (!job || job->row.status != ledger::JobStatus::cancelled) return then(false);
-  if (known_cancellations_.has(id, job->version)) return then(true);
+  if (known_cancellations_.contains(id, job->version)) return then(true);
   if (scheduler_) {
     const bool ours =
         !scheduler_->has_lost_leadership() && lease_confirmed() && fencing_token_ >= known_token();
@@ -213,7 +213,7 @@
           highest_token_ = std::max(highest_token_, *acknowledged);
           known_cancellations_.acknowledge(id, version);
         }
-        then(known_cancellations_.has(id, version));
+        then(known_cancellations_.contains(id, version));
       });
 }
 
