--- a/src/workers/command_acknowledgement.cpp
+++ b/src/workers/command_acknowledgement.cpp
@@ -16,8 +16,8 @@
   return last == heartbeat.tasks.rend() ? nullptr : &*last;
 }
 
-// Whether the worker's state is what it would be after the command.
-bool reflects(const Heartbeat& heartbeat, const WorkerCommand& command) {
+// Whether the heartbeat shows the worker in the state that the command leads to.
+bool acknowledges(const Heartbeat& heartbeat, const WorkerCommand& command) {
   const TaskStatus* status = find_status(heartbeat, command.attempt_ref());
   switch (command.verb) {
     case CommandKind::start:
@@ -34,16 +34,18 @@
 
 void CommandAcknowledgement::on_heartbeat(const Heartbeat& heartbeat, const std::string& machine) {
   if (unacknowledged_.empty()) return;
-  const bool any_reflected =
+  const bool any_acknowledged =
       std::any_of(unacknowledged_.begin(), unacknowledged_.end(),
-                  [&](const WorkerCommand& command) { return reflects(heartbeat, command); });
+                  [&](const WorkerCommand& command) { return acknowledges(heartbeat, command); });
   unacknowledged_.clear();
-  if (any_reflected) {
+  if (any_acknowledged) {
     if (is_unreachable())
-      spdlog::info("machine {}: its worker receives our replies again", machine);
+      spdlog::info("machine {}: worker receives heartbeat replies again", machine);
     heartbeats_without_acknowledgement_ = 0;
   } else if (++heartbeats_without_acknowledgement_ == kUnreachableAfterHeartbeats) {
-    spdlog::info("machine {}: its worker executes no command of our replies", machine);
+    spdlog::info(
+        "machine {}: worker does not execute the commands of heartbeat replies, marked unreachable",
+        machine);
   }
 }
 
--- a/src/workers/command_acknowledgement.h
+++ b/src/workers/command_acknowledgement.h
@@ -1,10 +1,10 @@
 #pragma once
-// Whether a machine's worker receives the replies to its heartbeats. Each Machine has one. A
-// heartbeat that reflects no command of the reply to its predecessor shows that this reply was
-// lost; after several in a row the machine counts as unreachable, however regularly its heartbeats
-// arrive. Without commands nothing is concluded.
+// Detects that a machine's worker does not receive the replies to its heartbeats. Each Machine has
+// one instance. A heartbeat that acknowledges no command of the previous reply shows that this
+// reply was lost; after several such heartbeats in a row the machine is unreachable, however
+// regularly its heartbeats arrive. A reply without commands shows nothing.
 //
-// Fed by HeartbeatHandler; Machine::unreachable() passes the answer on.
+// Updated by HeartbeatHandler; Machine::unreachable() exposes the result.
 
 #include <string>
 #include <vector>
@@ -17,11 +17,11 @@
  public:
   // The commands of the reply to the machine's latest heartbeat.
   void on_commands_sent(const std::vector<WorkerCommand>& commands) { unacknowledged_ = commands; }
-  // The machine's next heartbeat in the same epoch. `machine` is its name, for the log.
+  // The next heartbeat in the same epoch has arrived. `machine` is the machine's name for the log.
   void on_heartbeat(const Heartbeat& heartbeat, const std::string& machine);
-  // The worker is in a new epoch: what it was sent in an earlier one is void.
+  // The worker has begun a new epoch, in which commands of earlier epochs are void.
   void on_new_epoch() { unacknowledged_.clear(); }
-  // The worker lost its lease although its heartbeats were answered.
+  // The worker lost its lease although this controller replied to its heartbeats.
   void mark_unreachable();
 
   bool is_unreachable() const;
--- a/src/workers/direct_commands.cpp
+++ b/src/workers/direct_commands.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// After a call that stayed unanswered, in seconds: replies to heartbeats carry the commands.
-constexpr double kPauseAfterFailure = 5;
-// In heartbeat intervals: a machine that is silent for longer is left to its heartbeats, for a call
-// that stays unanswered leaves starts that may still be executed.
-constexpr double kMissedHeartbeat = 1.7;
-constexpr size_t kMaxCommands = 200;
-
-// Whether the worker has the attempt in a phase that a stop changes.
-bool is_stoppable(const Attempt& attempt) {
+// Replies to heartbeats carry the commands in the meantime.
+constexpr double kBackOffAfterFailureS = 5;
+// A machine whose last heartbeat is older gets no direct commands: a call that receives no response
+// leaves starts that may still be executed.
+constexpr double kMaxHeartbeatAgeIntervals = 1.7;
+constexpr size_t kMaxCommandsPerCall = 200;
+
+// Whether the attempt is to be stopped and is in a phase in which the worker acts on a stop.
+bool needs_stop(const Attempt& attempt) {
   switch (attempt.state) {
     case AttemptState::fetching:
     case AttemptState::gang_waiting:
@@ -54,17 +54,17 @@
 
 bool DirectCommands::may_call(const Machine& machine, double now) const {
   if (machine.direct_in_flight) return false;
-  const auto pause = paused_until_.find(machine.index);
-  return pause == paused_until_.end() || now >= pause->second;
+  const auto back_off = back_off_until_.find(machine.index);
+  return back_off == back_off_until_.end() || now >= back_off->second;
 }
 
 bool DirectCommands::is_reachable(const Machine& machine, double now) const {
   if (!machine.registered || machine.unreachable() || machine.addr.empty()) return false;
   if (machine.state != MachineState::ready && machine.state != MachineState::draining) return false;
-  return now - machine.last_heartbeat <= kMissedHeartbeat * settings_.heartbeat_interval_s;
+  return now - machine.last_heartbeat <= kMaxHeartbeatAgeIntervals * settings_.heartbeat_interval_s;
 }
 
-// Stops first: room is made before it is used.
+// Stops come first, so that they free capacity for the starts.
 std::vector<WorkerCommand> DirectCommands::commands_for(const Machine& machine) {
   std::vector<WorkerCommand> stops, starts;
   for (const auto& [job_index, task] : machine.tasks) {
@@ -73,39 +73,39 @@
     if (starts_.may_start(job, attempt) && attempt.epoch == machine.epoch) {
       starts.push_back({CommandKind::start, job.spec.id, task, attempt.number, 0});
       attempt.direct = true;
-    } else if (is_stoppable(attempt)) {
+    } else if (needs_stop(attempt)) {
       stops.push_back({CommandKind::stop, job.spec.id, task, attempt.number, attempt.grace_s});
     }
-    if (starts.size() + stops.size() >= kMaxCommands) break;
+    if (starts.size() + stops.size() >= kMaxCommandsPerCall) break;
   }
   stops.insert(stops.end(), starts.begin(), starts.end());
   return stops;
 }
 
-// ---------------------------------------------------------------- their outcome
+// ---------------------------------------------------------------- outcome of calls
 
-bool DirectCommands::on_result(const DirectCommand& call, bool answered,
-                               const std::optional<Heartbeat>& report, double now) {
+bool DirectCommands::on_result(const DirectCommand& call, bool outcome_known,
+                               const std::optional<Heartbeat>& heartbeat, double now) {
   Machine& machine = machines_[call.machine];
   machine.direct_in_flight = false;
-  if (report && heartbeats_.detect_newer_leader(*report)) return false;
-  if (answered)
-    settle_starts(machine, call);
+  if (heartbeat && heartbeats_.detect_newer_leader(*heartbeat)) return false;
+  if (outcome_known)
+    clear_direct_starts(machine, call);
   else if (!call.commands.empty())
-    record_unanswered(machine, call, now);
-  if (!report || machine.state == MachineState::terminated) return false;
-  if (!machine.registered) return on_announcement_answer(machine, call, *report, now);
-  if (report->epoch != machine.epoch || report->seq <= machine.seq) return false;
-  // What it lists counts. What it does not list proves nothing: the reply to a heartbeat may be on
-  // its way to the worker with a start that this list does not show.
-  machine.seq = report->seq;
-  reconciler_.apply_listed(machine, *report, now);
+    record_indeterminate(machine, call, now);
+  if (!heartbeat || machine.state == MachineState::terminated) return false;
+  if (!machine.registered) return on_announcement_response(machine, call, *heartbeat, now);
+  if (heartbeat->epoch != machine.epoch || heartbeat->seq <= machine.seq) return false;
+  // Only the attempts that it lists are taken into account. An attempt that it does not list may
+  // still start: its start command may be on the way in the reply to a heartbeat.
+  machine.seq = heartbeat->seq;
+  reconciler_.apply_listed(machine, *heartbeat, now);
   return false;
 }
 
-// No copy of an answered call is executed later, unless an earlier call with the same start stayed
-// unanswered.
-void DirectCommands::settle_starts(const Machine& machine, const DirectCommand& call) {
+// Once the outcome of a call is known, no copy of its starts is executed later, unless an earlier
+// call with the same start has an indeterminate outcome.
+void DirectCommands::clear_direct_starts(const Machine& machine, const DirectCommand& call) {
   for (const WorkerCommand& command : call.commands) {
     if (command.verb != CommandKind::start) continue;
     if (machine.unanswered_starts.count(command.attempt_ref())) continue;
@@ -117,23 +117,25 @@
   }
 }
 
-void DirectCommands::record_unanswered(Machine& machine, const DirectCommand& call, double now) {
-  paused_until_[machine.index] = now + kPauseAfterFailure;
+void DirectCommands::record_indeterminate(Machine& machine, const DirectCommand& call, double now) {
+  back_off_until_[machine.index] = now + kBackOffAfterFailureS;
   for (const WorkerCommand& command : call.commands)
     if (command.verb == CommandKind::start) machine.unanswered_starts.insert(command.attempt_ref());
 }
 
-// The answer to a call of our own is no late copy.
-bool DirectCommands::on_announcement_answer(Machine& machine, const DirectCommand& call,
-                                            const Heartbeat& report, double now) {
-  machine.epoch = std::max(machine.epoch, report.epoch);
-  if (report.fencing_token < claim_.fencing_token()) {
-    // The call named another epoch than the worker's, so that it was refused.
-    if (report.epoch != call.epoch) announcer_.announce_again(machine, now);
+// A response belongs to a call of this controller, so unlike a heartbeat it cannot be a delayed
+// copy.
+bool DirectCommands::on_announcement_response(Machine& machine, const DirectCommand& call,
+                                              const Heartbeat& heartbeat, double now) {
+  machine.epoch = std::max(machine.epoch, heartbeat.epoch);
+  if (heartbeat.fencing_token < claim_.fencing_token()) {
+    // The worker refused the call because its epoch is not the one that the call named.
+    if (heartbeat.epoch != call.epoch) announcer_.announce_again(machine, now);
     return false;
   }
-  const bool needs_round = heartbeats_.on_heartbeat(report, now).needs_round;
-  // It still has to find its way to us: its silence means something no sooner than without this.
+  const bool needs_round = heartbeats_.on_heartbeat(heartbeat, now).needs_round;
+  // The worker may still send its heartbeats elsewhere: it counts as missing heartbeats no earlier
+  // than it would without this response.
   machine.last_heartbeat = std::max(machine.last_heartbeat, announcer_.heartbeats_expected_by());
   return needs_round;
 }
--- a/src/workers/direct_commands.h
+++ b/src/workers/direct_commands.h
@@ -1,12 +1,12 @@
 #pragma once
-// Sends starts that are durable, and stops, straight to a worker instead of with the reply to its
-// next heartbeat; one call per machine at a time. Takes the machines from PendingCommands; where
-// none is due, TokenAnnouncer may call one. What a call does not deliver, the reply to the
-// machine's next heartbeat does.
+// Chooses the direct commands to workers: stops, and starts of durable attempts, which need not
+// wait for the reply to the next heartbeat. At most one call per machine is in flight. The machines
+// come from PendingCommands; when none of them can be called, TokenAnnouncer may choose one.
+// Commands that a call does not deliver are sent with the reply to the machine's next heartbeat.
 //
 // Called by the daemon's threads for direct commands, through the scheduler. Guarantees that a
-// start whose call stays unanswered is remembered (Machine::unanswered_starts, Attempt::direct) for
-// as long as a late copy may be executed.
+// start whose call has an indeterminate outcome stays recorded (Machine::unanswered_starts,
+// Attempt::direct) for as long as a delayed copy of it may be executed.
 
 #include <map>
 #include <optional>
@@ -28,7 +28,7 @@
 
 class DirectCommands {
  public:
-  // All must outlive this object. `started`: when this leader began.
+  // All must outlive this object. `started`: when this leader's term began.
   DirectCommands(const Settings& settings, const LeadershipClaim& claim, JobTable& jobs,
                  MachineTable& machines, PendingCommands& pending, const StartPermission& starts,
                  HeartbeatHandler& heartbeats, TaskReconciler& reconciler, double started)
@@ -42,21 +42,21 @@
         reconciler_(reconciler),
         announcer_(settings, machines, started) {}
 
-  // The next call to be made, if any; its outcome must be given to on_result().
+  // Returns the next call to make, if any. Its outcome must be passed to on_result().
   std::optional<DirectCommand> next(double now);
-  // `answered`: the worker executed or refused the commands. `report`: the heartbeat that came with
-  // the answer. Returns whether a round should look at what changed.
-  bool on_result(const DirectCommand& call, bool answered, const std::optional<Heartbeat>& report,
-                 double now);
+  // `outcome_known`: the worker executed or refused the commands, or they were never sent.
+  // `heartbeat`: the one in the response, if any. Returns whether a scheduling round is needed.
+  bool on_result(const DirectCommand& call, bool outcome_known,
+                 const std::optional<Heartbeat>& heartbeat, double now);
 
  private:
   bool may_call(const Machine& machine, double now) const;
   bool is_reachable(const Machine& machine, double now) const;
   std::vector<WorkerCommand> commands_for(const Machine& machine);
-  void settle_starts(const Machine& machine, const DirectCommand& call);
-  void record_unanswered(Machine& machine, const DirectCommand& call, double now);
-  bool on_announcement_answer(Machine& machine, const DirectCommand& call, const Heartbeat& report,
-                              double now);
+  void clear_direct_starts(const Machine& machine, const DirectCommand& call);
+  void record_indeterminate(Machine& machine, const DirectCommand& call, double now);
+  bool on_announcement_response(Machine& machine, const DirectCommand& call,
+                                const Heartbeat& heartbeat, double now);
 
   const Settings& settings_;
   const LeadershipClaim& claim_;
@@ -67,7 +67,7 @@
   HeartbeatHandler& heartbeats_;
   TaskReconciler& reconciler_;
   TokenAnnouncer announcer_;
-  std::map<Index, double> paused_until_;  // by machine: after a call that stayed unanswered
+  std::map<Index, double> back_off_until_;  // by machine, after a call of indeterminate outcome
 };
 
 }  // namespace rookdyke
--- a/src/workers/fault_detector.cpp
+++ b/src/workers/fault_detector.cpp
@@ -13,14 +13,15 @@
 
 // A machine is cordoned after errors of this many distinct jobs without a success between them.
 constexpr size_t kFaultyMachineAfterJobs = 2;
-// After its first error a machine takes no new work for this long, unless it succeeds.
-constexpr double kSuspectFor = 20;
-// A job that failed on this many machines, or twice as often, is taken for faulty itself.
+// After an error a machine takes no new work for this long, unless a task succeeds on it.
+constexpr double kSuspectDurationS = 20;
+// A job is considered faulty once it has failed on this many machines, or more than twice as many
+// times.
 constexpr size_t kFaultyJobAfterMachines = 3;
-constexpr double kErrorBackOff = 0.5;
-// Of a faulty job: doubled with each error.
-constexpr double kFaultyJobBackOff = 2;
-constexpr double kLongestBackOff = 60;
+constexpr double kErrorBackOffS = 0.5;
+// Initial back-off of a faulty job, doubled with each error.
+constexpr double kFaultyJobBackOffS = 2;
+constexpr double kMaxBackOffS = 60;
 constexpr uint32_t kMaxBackOffDoublings = 6;
 
 }  // namespace
@@ -30,10 +31,10 @@
          job.errors > 2 * kFaultyJobAfterMachines;
 }
 
-// It waits ever longer and blames no machine.
+// Backs the job off, and clears its failures from the machines that it failed on.
 void FaultDetector::record_faulty_job(Job& job, double now) {
   const double wait = std::min(
-      kLongestBackOff, kFaultyJobBackOff * std::exp2(std::min(job.errors, kMaxBackOffDoublings)));
+      kMaxBackOffS, kFaultyJobBackOffS * std::exp2(std::min(job.errors, kMaxBackOffDoublings)));
   job.not_before = std::max(job.not_before, now + wait);
   for (Index i : job.failed_machines) {
     Machine& machine = machines_[i];
@@ -46,9 +47,9 @@
   job.failed_machines.insert(machine.index);
   ++job.errors;
   if (is_faulty(job)) return record_faulty_job(job, now);
-  job.not_before = std::max(job.not_before, now + kErrorBackOff);
+  job.not_before = std::max(job.not_before, now + kErrorBackOffS);
   machine.failed_jobs.insert(job.id);
-  machine.suspect_until = now + kSuspectFor;
+  machine.suspect_until = now + kSuspectDurationS;
   if (machine.failed_jobs.size() >= kFaultyMachineAfterJobs && !machine.cordoned) {
     spdlog::warn("machine {} failed tasks of {} jobs in a row: cordoned", machine.name,
                  machine.failed_jobs.size());
--- a/src/workers/fault_detector.h
+++ b/src/workers/fault_detector.h
@@ -1,6 +1,7 @@
 #pragma once
-// Tells faulty machines from faulty jobs by the tasks that fail: a machine on which several jobs
-// fail in a row is cordoned, a job that fails on several machines waits ever longer.
+// Distinguishes faulty machines from faulty jobs by the tasks that fail: a machine on which tasks
+// of several jobs fail in a row is cordoned; a job that fails on several machines gets an
+// exponential back-off.
 
 #include "model/job.h"
 #include "model/machine.h"
@@ -17,10 +18,11 @@
   void record_error(Machine& machine, Job& job, double now);
   // A task has succeeded on the machine.
   static void record_success(Machine& machine);
-  // A replica of the job has run there for long enough to show that neither is faulty.
+  // A replica of the job has run on the machine for long enough to show that neither is faulty.
   static void record_success(Machine& machine, Job& job);
 
-  // Whether the job failed so widely since it last succeeded that the mistake is its own.
+  // Whether the job has failed on so many machines, or so often, since its last success that the
+  // job itself is considered faulty.
   static bool is_faulty(const Job& job);
 
  private:
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -9,16 +9,17 @@
 
 namespace {
 
-// In heartbeat intervals: heartbeats with an older token that arrive closer together count once.
-constexpr double kOlderTokenSpacing = 0.5;
-// In leases: a worker whose last heartbeat is younger was answered all along.
-constexpr double kAnsweredWithin = 0.6;
+// Heartbeats with an older token that arrive within this many heartbeat intervals count once.
+constexpr double kOlderTokenSpacingIntervals = 0.5;
+// In worker leases. A worker that loses its lease this soon after its last heartbeat did not
+// receive the replies to its heartbeats.
+constexpr double kRecentHeartbeatLeases = 0.6;
 
 }  // namespace
 
 bool HeartbeatHandler::detect_newer_leader(const Heartbeat& heartbeat) {
   if (heartbeat.fencing_token <= claim_.fencing_token()) return false;
-  claim_.lose("a worker has seen token " + std::to_string(heartbeat.fencing_token));
+  claim_.lose("a worker has seen newer fencing token " + std::to_string(heartbeat.fencing_token));
   return true;
 }
 
@@ -29,10 +30,11 @@
     return outcome;
   }
   Machine& machine = machines_.get_or_add(heartbeat.machine, now);
-  // A late heartbeat of a machine that has been returned.
+  // A delayed heartbeat of a machine that has been returned.
   if (machine.state == MachineState::terminated) return outcome;
   if (machine.registered && !heartbeat.id().is_later_than(machine.last_heartbeat_id())) {
-    // Held back on its way: its task list is as old as it is, and nobody receives the reply.
+    // Delayed in the network: its task list is out of date, and the worker no longer waits for the
+    // reply.
     outcome.reply.verdict = HeartbeatReply::Verdict::outdated;
     return outcome;
   }
@@ -53,35 +55,35 @@
   return outcome;
 }
 
-// Invariant 7: sent before its worker had seen our token, so perhaps long ago, and perhaps a copy.
-// It proves nothing, not even that the machine is up, and is answered with the token alone. A
-// worker that takes the token up sends its next heartbeat within half a second.
+// Invariant 7: the worker sent the heartbeat before it had seen this leader's token, so it may be
+// old or a duplicate and proves nothing, not even that the machine is up. The reply contains only
+// the token. A worker that adopts the token sends its next heartbeat within half a second.
 void HeartbeatHandler::record_older_token(Machine& machine, const Heartbeat& heartbeat,
                                           double now) const {
   if (!heartbeat.id().is_later_than(machine.older_token_last)) return;
   machine.older_token_last = heartbeat.id();
-  // Those that a network partition held back arrive all at once: they count for one.
+  // Heartbeats that a network partition delayed arrive all at once and count as one.
   if (machine.heartbeats_with_older_token == 0 ||
-      now - machine.older_token_at > kOlderTokenSpacing * settings_.heartbeat_interval_s) {
+      now - machine.older_token_at > kOlderTokenSpacingIntervals * settings_.heartbeat_interval_s) {
     machine.older_token_at = now;
     if (machine.heartbeats_with_older_token++ == 0) machine.older_token_since = now;
   }
   if (machine.addr.empty()) machine.addr = heartbeat.addr;
 }
 
-// A worker that lost its lease although its heartbeats were answered all along does not receive the
-// replies.
+// A worker that lost its lease (its epoch rose) although this controller replied to its heartbeats
+// does not receive the replies.
 void HeartbeatHandler::detect_lost_replies(Machine& machine, const Heartbeat& heartbeat,
                                            double now) const {
   if (!machine.registered || heartbeat.epoch <= machine.epoch) return;
-  if (now - machine.last_heartbeat < kAnsweredWithin * settings_.lease_s)
+  if (now - machine.last_heartbeat < kRecentHeartbeatLeases * settings_.lease_s)
     machine.acknowledgement.mark_unreachable();
 }
 
-// Invariant 3, "its tenure rose": the worker killed everything of earlier epochs.
+// Invariant 3: a worker whose epoch has risen has killed all attempts of earlier epochs.
 void HeartbeatHandler::end_attempts_of_older_epochs(const Machine& machine,
                                                     const Heartbeat& heartbeat, double now) {
-  const auto tasks = machine.tasks;  // a copy: attempts that end leave the list
+  const auto tasks = machine.tasks;  // a copy, because ended attempts are removed from the list
   for (const auto& [job_index, task] : tasks) {
     Job& job = jobs_[job_index];
     const auto attempt = job.attempts.find(task);
@@ -95,18 +97,19 @@
   machine.was_up = true;
   machine.last_heartbeat = now;
   if (machine.epoch != heartbeat.epoch) {
-    machine.unanswered_starts.clear();  // a direct command names the epoch it is for
+    // A worker refuses direct commands that name an earlier epoch.
+    machine.unanswered_starts.clear();
     machine.acknowledgement.on_new_epoch();
   }
   machine.epoch = heartbeat.epoch;
   machine.seq = heartbeat.seq;
   if (machine.state == MachineState::booting)
-    MachineTable::set_state(machine, MachineState::ready, "its worker reports");
+    MachineTable::set_state(machine, MachineState::ready, "worker sent its first heartbeat");
 }
 
 void HeartbeatHandler::register_machine(Machine& machine, const Heartbeat& heartbeat, double now) {
   machine.addr = heartbeat.addr;
-  // What the cloud's list said is not given up for a type that is not in the catalog.
+  // A type that is not in the catalog does not replace the type from the cloud's list.
   const Index type = catalog_.type_names.find(heartbeat.type);
   if (type != kNone || machine.type == kNone) {
     machine.type = type;
--- a/src/workers/heartbeat_handler.h
+++ b/src/workers/heartbeat_handler.h
@@ -1,12 +1,12 @@
 #pragma once
-// Receives the workers' heartbeats: drops those that prove nothing (sent before the worker had seen
-// our fencing token, outdated, or copies), registers machines, follows their epochs, and has
-// TaskReconciler find the commands of the reply. Called by the scheduler, and by DirectCommands for
-// answers to its token announcements.
+// Handles the workers' heartbeats: discards those that are outdated, duplicates, or sent before the
+// worker had seen this leader's fencing token; registers machines; tracks their epochs; and gets
+// the commands for the reply from TaskReconciler. Called by the scheduler, and by DirectCommands
+// for the responses to its token announcements.
 //
-// Guarantees invariant 2 (a worker that has seen a newer token ends our claim to lead), invariant 3
-// (an epoch that rose proves earlier attempts off the machine) and invariant 7 (a heartbeat with an
-// older token changes nothing of what is known about tasks).
+// Guarantees invariant 2 (a worker that has seen a newer token ends this controller's leadership),
+// invariant 3 (a higher epoch proves that attempts of earlier epochs no longer run on the machine)
+// and invariant 7 (a heartbeat with an older token does not change the known state of any task).
 
 #include "fleet/boot_tracker.h"
 #include "leadership/leadership_claim.h"
@@ -24,7 +24,7 @@
 
 struct HeartbeatOutcome {
   HeartbeatReply reply;
-  bool needs_round = false;  // there is something new to decide: a machine, or room on one
+  bool needs_round = false;  // a machine was registered, or capacity was freed on one
 };
 
 class HeartbeatHandler {
@@ -45,7 +45,8 @@
         reconciler_(reconciler) {}
 
   HeartbeatOutcome on_heartbeat(const Heartbeat& heartbeat, double now);
-  // True if the worker has seen a newer leader's fencing token; our claim to lead is lost then.
+  // Whether the worker has seen the fencing token of a newer leader. If so, marks the leadership of
+  // this controller as lost.
   bool detect_newer_leader(const Heartbeat& heartbeat);
 
  private:
--- a/src/workers/image_tracker.cpp
+++ b/src/workers/image_tracker.cpp
@@ -21,7 +21,7 @@
   double size_gb = 0;
 };
 
-// Least recently used first; by index among those used at the same time.
+// Least recently used first; images used at the same time are ordered by index.
 std::vector<Index> images_by_last_use(const Machine& machine) {
   std::vector<Index> images;
   images.reserve(machine.images.size());
@@ -41,7 +41,7 @@
   if (cache_gb > 0) evict_to_fit(machine, cache_gb);
 }
 
-// The worker keeps the most recently used images; what must have left its cache is forgotten.
+// Applies the worker's own policy: it evicts the least recently used images when its cache is full.
 void ImageTracker::evict_to_fit(Machine& machine, double cache_gb) {
   double sum_gb = 0;
   for (const auto& [image, cached] : machine.images) sum_gb += cached.size_gb;
--- a/src/workers/image_tracker.h
+++ b/src/workers/image_tracker.h
@@ -1,10 +1,10 @@
 #pragma once
-// Which images the machines have in their caches, as far as the tasks that used them tell. The
-// knowledge is a hint: placement prefers machines that hold a job's image, and nothing correct
-// depends on it. Owns Machine::images.
+// Tracks which images the machines have in their caches, inferred from the tasks that used them.
+// The result is a hint: placement prefers machines that hold a job's image, but correctness does
+// not depend on it. Owns Machine::images.
 //
-// Fed by TaskReconciler. The leader hands its knowledge to its siblings as JSON, so that a
-// successor need not have every image fetched anew.
+// Updated by TaskReconciler. The leader sends the locations to its peer controllers as JSON, so
+// that placement after a failover can still use the images that are cached.
 
 #include <nlohmann/json.hpp>
 
@@ -20,15 +20,15 @@
   // Both must outlive this object.
   ImageTracker(Catalog& catalog, MachineTable& machines) : catalog_(catalog), machines_(machines) {}
 
-  // A task of the job uses the job's image on the machine.
+  // Records that a task of the job uses the job's image on the machine.
   void record_use(Machine& machine, const Job& job, double now);
 
+  // Returns the locations of images on ready machines:
   // {"images": [[name, size in GB], ...],
-  //  "machines": {name: [index into images, ...; least recently used first], ...}}, ready machines
-  // only.
+  //  "machines": {name: [index into images, ...; least recently used first], ...}}
   nlohmann::json image_locations() const;
-  // Takes over what image_locations() gave elsewhere. Unknown machines are skipped; the rest of a
-  // malformed document is ignored.
+  // Loads what image_locations() of another controller returned. Unknown machines are skipped; a
+  // malformed document is loaded up to the first error.
   void load_image_locations(const nlohmann::json& locations, double now);
 
  private:
--- a/src/workers/pending_commands.h
+++ b/src/workers/pending_commands.h
@@ -1,6 +1,6 @@
 #pragma once
-// Machines for which there are commands worth sending at once, without waiting for their worker's
-// next heartbeat. Filled by whoever changes what a machine is to run; emptied by DirectCommands.
+// The machines with commands to be sent at once instead of with the reply to their next heartbeat.
+// Code that changes what a machine is to run adds it here; DirectCommands removes it.
 
 #include <optional>
 #include <set>
@@ -13,8 +13,8 @@
  public:
   void add(Index machine) { machines_.insert(machine); }
 
-  // Removes and returns the first machine, by index and not below `from`, that `accepts` returns
-  // true for; the others stay.
+  // Removes and returns the machine with the lowest index, not below `from`, for which `accepts`
+  // returns true.
   template <typename Predicate>
   std::optional<Index> take_first(Index from, Predicate accepts) {
     for (auto it = machines_.lower_bound(from); it != machines_.end(); ++it) {
--- a/src/workers/reclaim_notice_handler.cpp
+++ b/src/workers/reclaim_notice_handler.cpp
@@ -31,9 +31,9 @@
     if (grace_s < notice_s) lifecycle_.stop_with_gang(job, attempt, grace_s);
     return;
   }
-  // A running task without checkpoints may still end in time; stopping it would surely lose it.
+  // A running task without checkpoints may still finish in time; stopping it would lose its work.
   if (is_running || attempt.state == AttemptState::checkpointing) return;
-  lifecycle_.stop(job, attempt, 0);  // it has no progress to lose: let it start elsewhere
+  lifecycle_.stop(job, attempt, 0);  // it has no progress to lose and can start elsewhere
 }
 
 }  // namespace rookdyke
--- a/src/workers/reclaim_notice_handler.h
+++ b/src/workers/reclaim_notice_handler.h
@@ -1,7 +1,7 @@
 #pragma once
-// What happens to the tasks of a spot machine that the cloud has announced to take back: tasks that
-// can save a checkpoint in time are stopped, replicas are moved, work that has not begun goes
-// elsewhere. Called by HeartbeatHandler.
+// Handles the cloud's notice that it will reclaim a spot machine: tasks that can write a checkpoint
+// in time are stopped, replicas are moved, and tasks that have not begun to run are stopped so that
+// they can start on other machines. Called by HeartbeatHandler.
 
 #include "model/job.h"
 #include "model/machine.h"
@@ -17,8 +17,8 @@
   ReclaimNoticeHandler(JobTable& jobs, TaskLifecycle& lifecycle, ReplicaMover& replicas)
       : jobs_(jobs), lifecycle_(lifecycle), replicas_(replicas) {}
 
-  // The machine is taken in `notice_s` seconds. Called with each heartbeat that says so: what could
-  // not be stopped the first time may be later.
+  // The cloud reclaims the machine in `notice_s` seconds. Called for each heartbeat with a notice,
+  // because an attempt that cannot be stopped at first may be stopped later.
   void on_reclaim_notice(Machine& machine, double notice_s, double now);
 
  private:
--- a/src/workers/start_permission.h
+++ b/src/workers/start_permission.h
@@ -1,7 +1,7 @@
 #pragma once
-// Whether a worker may be told to start an attempt. Asked by TaskReconciler and DirectCommands,
-// which send the commands; the daemon forbids all starts while the leader may not have heard of the
-// latest cancellations.
+// Decides whether a worker may be commanded to start an attempt. Used by TaskReconciler and
+// DirectCommands, which produce the commands. The daemon forbids all starts while the leader may
+// not know the latest cancellations.
 
 #include "model/job.h"
 
@@ -11,7 +11,8 @@
  public:
   void allow_starts(bool allowed) { starts_allowed_ = allowed; }
 
-  // Whether the attempt is durable and still wanted, and for a gang the rest of it durable too.
+  // Whether the attempt is durable and not to be stopped, its job is not finished and, for a gang,
+  // all its attempts are durable.
   bool may_start(const Job& job, const Attempt& attempt) const {
     if (attempt.state != AttemptState::placed || attempt.stop) return false;
     if (job.is_finished() || !starts_allowed_) return false;
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// A replica that ran for this many seconds shows that neither its job nor its machine is faulty.
-constexpr double kProvenAfter = 10;
-// So many stay below the 64 KiB that a reply may have; the rest follow with the next one.
+// A replica that has run for this long shows that neither its job nor its machine is faulty.
+constexpr double kHealthyReplicaAfterS = 10;
+// Keeps a reply below its limit of 64 KiB; the other commands follow in the next reply.
 constexpr size_t kMaxReplyCommands = 400;
 
-AttemptState state_in(TaskPhase phase) {
+AttemptState attempt_state_of(TaskPhase phase) {
   switch (phase) {
     case TaskPhase::fetching:
       return AttemptState::fetching;
@@ -43,7 +43,8 @@
                                                      double now) {
   Findings findings = apply_task_list(machine, heartbeat, now);
   reconcile_unlisted(machine, findings, now);
-  // Room is made before it is used; a forgotten attempt is cleared before its task's next one.
+  // Stops free capacity before starts use it. An old attempt is forgotten before the next attempt
+  // of its task starts.
   std::vector<WorkerCommand> commands;
   for (const auto* part : {&findings.forgets, &findings.stops, &findings.starts})
     commands.insert(commands.end(), part->begin(), part->end());
@@ -55,7 +56,7 @@
   apply_task_list(machine, heartbeat, now);
 }
 
-// ---------------------------------------------------------------- what the worker lists
+// ---------------------------------------------------------------- listed attempts
 
 TaskReconciler::Findings TaskReconciler::apply_task_list(Machine& machine,
                                                          const Heartbeat& heartbeat, double now) {
@@ -70,7 +71,7 @@
   return findings;
 }
 
-// The attempt that the status is of, if it is on this machine as far as we know; else null.
+// Returns the attempt that the status describes if the leader has it on this machine, else null.
 Attempt* TaskReconciler::find_attempt(const Machine& machine, const TaskStatus& status) {
   Job* job = jobs_.find(status.job);
   if (!job) return nullptr;
@@ -81,7 +82,8 @@
   return same ? &attempt : nullptr;
 }
 
-// Its end is durable already (its exit counts, invariant 4), or its job is over.
+// The end of such an attempt is durable already (invariant 4 counts its exit), or its job is
+// finished.
 void TaskReconciler::handle_unknown_task(Machine& machine, const TaskStatus& status,
                                          Findings& findings) {
   if (status.phase != TaskPhase::exited) {
@@ -95,7 +97,7 @@
 void TaskReconciler::apply_known_task(Machine& machine, Job& job, Attempt& attempt,
                                       const TaskStatus& status, Findings& findings, double now) {
   findings.listed.insert({job.id, status.task});
-  apply_status(machine, job, attempt, status, now);  // may erase the attempt, and its job
+  apply_status(machine, job, attempt, status, now);  // may erase the attempt and its job
   const Attempt* current = find_attempt(machine, status);
   if (!current || current->state == AttemptState::ended || !current->stop) return;
   if (current->state == AttemptState::checkpointing && current->grace_s > 0) return;
@@ -113,7 +115,7 @@
 
 void TaskReconciler::apply_phase(Machine& machine, Job& job, Attempt& attempt, TaskPhase phase,
                                  double now) {
-  const AttemptState to = state_in(phase);
+  const AttemptState to = attempt_state_of(phase);
   if (to == AttemptState::running && attempt.state != AttemptState::running)
     attempt.running_since = now;
   if (attempt.state == AttemptState::placed || to >= attempt.state)
@@ -133,21 +135,21 @@
   if (cause != ExitCause::done && cause != ExitCause::stopped)
     spdlog::info("task {}/{} attempt {} on {} ended: cause {}", job.spec.id, attempt.task,
                  attempt.number, machine.name, static_cast<int>(cause));
-  lifecycle_.end(job, attempt.task, cause, now, "its worker reports the exit");
+  lifecycle_.end(job, attempt.task, cause, now, "worker reported the exit");
 }
 
-// A replica never exits with success; that it keeps running takes the place of that.
+// A replica never exits with success, so a long enough run counts as its success.
 void TaskReconciler::record_replica_run(Machine& machine, Job& job, Attempt& attempt, double now) {
   if (attempt.proven || attempt.state != AttemptState::running) return;
-  if (now - attempt.running_since < kProvenAfter) return;
+  if (now - attempt.running_since < kHealthyReplicaAfterS) return;
   attempt.proven = true;
   FaultDetector::record_success(machine, job);
 }
 
-// ---------------------------------------------------------------- what it does not list
+// ---------------------------------------------------------------- attempts not listed
 
 void TaskReconciler::reconcile_unlisted(Machine& machine, Findings& findings, double now) {
-  const auto tasks = machine.tasks;  // a copy: attempts that end leave the list
+  const auto tasks = machine.tasks;  // a copy, because ended attempts are removed from the list
   for (const auto& [job_index, task] : tasks) {
     if (findings.listed.count({job_index, task})) continue;
     Job& job = jobs_[job_index];
@@ -159,8 +161,8 @@
                                              Findings& findings, double now) {
   if (attempt.state == AttemptState::proposed) return;
   if (attempt.state != AttemptState::placed) {
-    // It was listed before and left without a command of ours.
-    lifecycle_.end(job, attempt.task, ExitCause::none, now, "its worker no longer lists it");
+    // An earlier heartbeat listed the attempt, and the worker has dropped it without a command.
+    lifecycle_.end(job, attempt.task, ExitCause::none, now, "worker no longer lists it");
     return;
   }
   if (attempt.stop)
@@ -169,17 +171,20 @@
     findings.starts.push_back(command(CommandKind::start, job, attempt));
 }
 
-// An attempt that is to stop and has not been seen on its machine yet.
+// Handles an attempt that is to stop and that no heartbeat of its machine has listed yet.
 void TaskReconciler::withdraw_placed(const Machine& machine, Job& job, const Attempt& attempt,
                                      Findings& findings, double now) {
   if (!attempt.direct) {
-    // Its start was never sent, or in the reply to an earlier heartbeat. This heartbeat settles
-    // that: the worker either executed the command or dropped the reply.
-    lifecycle_.end(job, attempt.task, ExitCause::none, now, "not there, and no start is pending");
+    // Its start was either never sent, or sent in the reply to an earlier heartbeat. Since this
+    // heartbeat does not list the attempt, the worker has discarded that reply or never received
+    // it.
+    lifecycle_.end(job, attempt.task, ExitCause::none, now,
+                   "not on its machine, and no start command is pending");
     return;
   }
-  // A direct start may still be executed. Started here and stopped at once, the attempt is listed
-  // as exited, and the late copy finds it there and has no effect.
+  // A delayed direct command may still start the attempt. To make it harmless, the reply starts the
+  // attempt and stops it at once: the worker then lists it as exited, and a delayed start of a
+  // listed attempt has no effect.
   if (machine.direct_in_flight) return;
   findings.starts.push_back(command(CommandKind::start, job, attempt));
   findings.starts.push_back(command(CommandKind::stop, job, attempt));
--- a/src/workers/task_reconciler.h
+++ b/src/workers/task_reconciler.h
@@ -1,10 +1,10 @@
 #pragma once
-// Compares the task list of a worker's heartbeat with what the leader knows of the machine: takes
-// over what it says of each attempt, ends attempts that are proven off the machine (invariants 3
-// and 4), and finds the commands that bring the worker to what is wanted. Idempotent: a command
-// that was lost is found again at the next heartbeat.
+// Reconciles the task list of a worker's heartbeat with the leader's state of the machine: applies
+// the reported status of each attempt, ends attempts that are proven not to run on the machine any
+// more (invariants 3 and 4), and determines the commands that bring the worker to the desired
+// state. Idempotent: a command that was lost is issued again at the next heartbeat.
 //
-// Called by HeartbeatHandler and DirectCommands, which have checked that the list is current.
+// Called by HeartbeatHandler and DirectCommands, which check that the list is current.
 
 #include <cstdint>
 #include <set>
@@ -28,11 +28,12 @@
                  ImageTracker& images, const StartPermission& starts)
       : jobs_(jobs), lifecycle_(lifecycle), faults_(faults), images_(images), starts_(starts) {}
 
-  // Reconciles in both directions. The worker must have seen our fencing token: only then does it
-  // execute no older command any more, and only then does an attempt that it does not list prove
-  // anything. Returns the commands for the reply, in the order of execution.
+  // Reconciles the listed attempts and those missing from the list. The worker must have seen this
+  // leader's fencing token: only then does it execute no command of earlier leaders, so that an
+  // attempt that it does not list cannot be running or be started by such a command. Returns the
+  // commands for the reply, in the order of execution.
   std::vector<WorkerCommand> reconcile(Machine& machine, const Heartbeat& heartbeat, double now);
-  // Takes over what the list says and concludes nothing from what it leaves out.
+  // Applies the status of the listed attempts and ignores those missing from the list.
   void apply_listed(Machine& machine, const Heartbeat& heartbeat, double now);
 
  private:
@@ -43,7 +44,7 @@
       return std::tie(job, task) < std::tie(other.job, other.task);
     }
   };
-  // What a pass over the list found.
+  // The tasks that a heartbeat lists, and the commands for its reply.
   struct Findings {
     std::set<ListedTask> listed;
     std::vector<WorkerCommand> forgets, stops, starts;
--- a/src/workers/token_announcer.cpp
+++ b/src/workers/token_announcer.cpp
@@ -7,25 +7,27 @@
 
 namespace {
 
-// After a leader's start, in seconds: until then workers whose leader ended with a closed
-// connection begin to come by themselves.
-constexpr double kFirstAnnouncementAfter = 1;
-// In seconds, between two calls to a machine.
-constexpr double kRetryAfter = 3;
-// In seconds, between two searches that find no machine.
-constexpr double kSearchInterval = 0.5;
+// After a leader's start. By then, workers whose connection to the previous leader was closed begin
+// to send heartbeats by themselves.
+constexpr double kFirstAnnouncementDelayS = 1;
+// Between two calls to the same machine.
+constexpr double kRetryIntervalS = 3;
+// Between two searches for a machine to call that find none.
+constexpr double kSearchIntervalS = 0.5;
 constexpr int kMaxAnnouncements = 4;
-// With so many machines called in vain the others are left to come by themselves for a while: each
-// such call keeps a thread that direct commands need.
-constexpr int kMaxCalledInVain = 10;
-// When workers are expected after a leader's start: in heartbeat intervals, and seconds on top.
-constexpr double kExpectedHeartbeats = 1.3;
-constexpr double kExpectedMargin = 1.5;
+// With this many machines called without success, the other workers are given time to send
+// heartbeats by themselves: each call without a response occupies a thread that direct commands
+// need.
+constexpr int kMaxUnsuccessfulCalls = 10;
+// Workers are expected to send heartbeats by themselves within this many heartbeat intervals plus a
+// margin after a leader's start.
+constexpr double kExpectedWithinIntervals = 1.3;
+constexpr double kExpectedMarginS = 1.5;
 
 }  // namespace
 
 double TokenAnnouncer::heartbeats_expected_by() const {
-  return started_ + kExpectedHeartbeats * settings_.heartbeat_interval_s + kExpectedMargin;
+  return started_ + kExpectedWithinIntervals * settings_.heartbeat_interval_s + kExpectedMarginS;
 }
 
 TokenAnnouncer::Announcements TokenAnnouncer::announcements_to(const Machine& machine) const {
@@ -35,12 +37,12 @@
 
 bool TokenAnnouncer::waits_for_heartbeats(double now) const {
   if (now >= heartbeats_expected_by()) return false;
-  const auto in_vain =
+  const auto unsuccessful =
       std::count_if(machines_.begin(), machines_.end(), [this](const auto& machine) {
         return announcements_to(*machine).count > 0 && !machine->registered &&
                !machine->direct_in_flight;
       });
-  return in_vain >= kMaxCalledInVain;
+  return unsuccessful >= kMaxUnsuccessfulCalls;
 }
 
 bool TokenAnnouncer::is_due(const Machine& machine, double now) const {
@@ -52,19 +54,19 @@
 }
 
 std::optional<DirectCommand> TokenAnnouncer::next_announcement(double now) {
-  if (now - started_ < kFirstAnnouncementAfter || now < next_search_at_) return std::nullopt;
+  if (now - started_ < kFirstAnnouncementDelayS || now < next_search_at_) return std::nullopt;
   if (waits_for_heartbeats(now)) return std::nullopt;
   const auto found =
       std::find_if(machines_.begin(), machines_.end(),
                    [this, now](const auto& machine) { return is_due(*machine, now); });
   if (found == machines_.end()) {
-    next_search_at_ = now + kSearchInterval;
+    next_search_at_ = now + kSearchIntervalS;
     return std::nullopt;
   }
   Machine& machine = **found;
   Announcements& announcements = announcements_[machine.index];
   ++announcements.count;
-  announcements.not_before = std::max(now + kRetryAfter, heartbeats_expected_by());
+  announcements.not_before = std::max(now + kRetryIntervalS, heartbeats_expected_by());
   machine.direct_in_flight = true;
   return DirectCommand{machine.index, machine.addr, std::max<uint64_t>(1, machine.epoch), {}};
 }
--- a/src/workers/token_announcer.h
+++ b/src/workers/token_announcer.h
@@ -1,13 +1,16 @@
 #pragma once
-// Tells the leader's fencing token to machines that have not sent it a heartbeat with that token.
-// Owns when and how often each of them was told; the calls go out as direct commands without
-// commands. Called by DirectCommands.
+// Announces the leader's fencing token to machines that have sent it no heartbeat with that token.
+// Decides when and how often each machine is called; an announcement is a direct command call
+// without commands. Called by DirectCommands.
 //
-// Workers keep to the controller that answers them: a deposed leader that is cut off from its
-// siblings and the state service, but not from its workers, would keep them. The call, though it
-// carries only the token, makes the worker's next heartbeat tell that leader of it. Workers of a
-// leader that hangs or crashed wait for its reply first, and then perhaps for that of another
-// controller that is down; until they come, the calls tell what runs there and start what waits.
+// Announcements serve two purposes:
+// - Workers stay with the controller that replies to them. A deposed leader that is partitioned
+// from
+//   its peers and the state service, but not from its workers, would keep them. After an
+//   announcement, the worker's next heartbeat carries the new token to that leader.
+// - Workers of a leader that hangs or has crashed wait for its reply first, and then perhaps for
+//   that of another controller that is down. Until they send heartbeats to the new leader, the
+//   responses to announcements tell it what runs there, and direct commands can start tasks.
 
 #include <map>
 #include <optional>
@@ -21,17 +24,17 @@
 
 class TokenAnnouncer {
  public:
-  // `settings` and `machines` must outlive this object. `started`: when this leader began.
+  // `settings` and `machines` must outlive this object. `started`: when this leader's term began.
   TokenAnnouncer(const Settings& settings, MachineTable& machines, double started)
       : settings_(settings), machines_(machines), started_(started) {}
 
-  // The next machine to be told; it counts as told, and its direct call as in flight.
+  // Returns the next announcement to send, if any, and marks the machine's call as in flight.
   std::optional<DirectCommand> next_announcement(double now);
-  // The machine's answer was not from the epoch that the call named: it is told once more.
+  // The worker refused the call because it named another epoch: the machine is called again.
   void announce_again(const Machine& machine, double now) {
     announcements_[machine.index].not_before = now;
   }
-  // By when workers that find their way to this leader by themselves have mostly come.
+  // The time by which most workers that find this leader by themselves have sent a heartbeat.
   double heartbeats_expected_by() const;
 
  private:
