--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -1,6 +1,6 @@
 #pragma once
-// Which jobs can never run, whatever the cloud and the other jobs do: they are refused (422) and
-// not retried. Strict: what might run some day is none of them.
+// Admission check for submitted jobs. A job that can never run, whatever the cloud and other jobs
+// do, is rejected (422) and not retried. A job that might run at some later time is admitted.
 
 #include <optional>
 #include <string>
@@ -10,9 +10,11 @@
 
 namespace rookdyke {
 
-// Why the job can never run; empty: it may. A type without zones may be in any of `zones`.
-std::optional<std::string> never_runs(const JobSpec& job, const std::vector<MachineType>& types,
-                                      const std::vector<TeamQuota>& teams,
-                                      const std::vector<std::string>& zones);
+// Returns why the job can never run, or nullopt if it is admitted. A machine type without zones is
+// offered in all of `zones`.
+std::optional<std::string> rejection_reason(const JobSpec& job,
+                                            const std::vector<MachineType>& types,
+                                            const std::vector<TeamQuota>& teams,
+                                            const std::vector<std::string>& zones);
 
 }  // namespace rookdyke
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -147,7 +147,7 @@
     refuse(response, "machine types are not known yet");
     return std::nullopt;
   }
-  if (const auto never = never_runs(spec, types, settings_.teams, settings_.zones)) {
+  if (const auto never = rejection_reason(spec, types, settings_.teams, settings_.zones)) {
     if (answer_if_accepted_elsewhere(id, deadline, response)) return std::nullopt;
     spdlog::info("submission {} refused: {}", id, *never);
     reply(response, http_status::kUnprocessable, wire::refusal(*never));
--- a/src/daemon/controller_state.cpp
+++ b/src/daemon/controller_state.cpp
@@ -93,7 +93,7 @@
 void ControllerState::become_leader(uint64_t fencing_token, double now) {
   fencing_token_ = fencing_token;
   scheduler_ = std::make_unique<Scheduler>(config_.scheduler, machine_types(), fencing_token_, now);
-  scheduler_->set_day_offset(seconds_since_epoch() - now);
+  scheduler_->set_time_of_day_offset(seconds_since_epoch() - now);
   if (sizes_lowered_) scheduler_->apply_lowered_limits();
   scheduler_->load(ledger_cache_, now);
   if (image_locations_token_ > 0) scheduler_->load_image_locations(image_locations_, now);
--- a/src/daemon/scheduling_loop.cpp
+++ b/src/daemon/scheduling_loop.cpp
@@ -90,7 +90,7 @@
   spdlog::info(
       "jobs {} waiting {} live {}; machines ready {} booting {} draining {} silent {}, target {}",
       summary.jobs, summary.waiting, summary.live, summary.ready, summary.booting, summary.draining,
-      summary.silent, summary.target);
+      summary.missing_heartbeats, summary.target);
   machines_to_check_ = summary.ready + summary.booting + summary.draining;
 }
 
--- a/src/fleet/machine_monitor.cpp
+++ b/src/fleet/machine_monitor.cpp
@@ -302,7 +302,7 @@
   for (const auto& [job_index, task] : machine.tasks) {
     Job& job = jobs_[job_index];
     lifecycle_.stop_with_gang(job, job.attempts.at(task),
-                              job.spec.checkpoint_duration_s + kGraceMargin);
+                              job.spec.checkpoint_duration_s + kCheckpointGraceMarginS);
   }
 }
 
--- a/src/placement/gang_placement.cpp
+++ b/src/placement/gang_placement.cpp
@@ -30,7 +30,7 @@
   const uint64_t number = job.attempts.begin()->second.number;
   for (const auto& [task, attempt] : job.attempts)
     if (attempt.state == AttemptState::ended || attempt.number != number) return false;
-  return TaskLifecycle::is_gang_gathering(job);
+  return TaskLifecycle::is_gang_starting(job);
 }
 
 }  // namespace
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -44,7 +44,9 @@
 }
 
 double grace_s(const Job& job) {
-  return job.spec.checkpoint_interval_s > 0 ? job.spec.checkpoint_duration_s + kGraceMargin : 0;
+  return job.spec.checkpoint_interval_s > 0
+             ? job.spec.checkpoint_duration_s + kCheckpointGraceMarginS
+             : 0;
 }
 
 // How many tasks room is to be made for at once.
--- a/src/quota/team_usage.cpp
+++ b/src/quota/team_usage.cpp
@@ -10,7 +10,7 @@
     : quotas_(catalog.teams.size()), used_(catalog.teams.size()) {
   for (const TeamQuota& quota : settings.teams) {
     const TeamQuota*& known = quotas_[catalog.teams.find(quota.name)];
-    if (!known) known = &quota;  // of two entries of one name the first counts
+    if (!known) known = &quota;  // the first of several entries with the same name applies
   }
 }
 
--- a/src/quota/team_usage.h
+++ b/src/quota/team_usage.h
@@ -1,7 +1,7 @@
 #pragma once
-// What each team's tasks use, against its guarantee and its limit. A task counts from the moment it
-// is proposed until it is proven off its machine, so that the sum never passes a limit whatever is
-// lost or late on the network.
+// The resources that each team's tasks use, compared with the team's guarantee and limit. A task
+// counts from its proposal until it is proven to have left its machine, so that the sum never
+// exceeds a limit even if messages are lost or late.
 
 #include <cstdint>
 #include <vector>
@@ -17,22 +17,22 @@
   // `settings` must outlive this object, and its teams must not change.
   TeamUsage(const Settings& settings, const Catalog& catalog);
 
-  // Teams are indices of the catalog.
+  // `team` is an index of the catalog.
   void add(Index team, const Resources& task);
   void remove(Index team, const Resources& task);
 
-  // Whether so many more tasks of that size stay within the team's limit. Of a team that the
-  // settings do not know nothing does.
+  // Whether `count` more tasks of size `per_task` stay within the team's limit. Always false for
+  // teams that are not in the settings.
   bool within_limit(Index team, const Resources& per_task, uint32_t count) const;
-  // Whether the team borrows: uses more than its guarantee. False for teams that the settings do
-  // not know.
+  // Whether the team uses more than its guarantee. Always false for teams that are not in the
+  // settings.
   bool exceeds_guarantee(Index team) const;
 
  private:
   const TeamQuota* quota(Index team) const;
   Resources used(Index team) const { return team < used_.size() ? used_[team] : Resources{}; }
 
-  std::vector<const TeamQuota*> quotas_;  // by team index; of the settings' teams only
+  std::vector<const TeamQuota*> quotas_;  // by team index; null for teams not in the settings
   std::vector<Resources> used_;           // by team index
 };
 
--- a/src/scheduler/catalog.h
+++ b/src/scheduler/catalog.h
@@ -1,6 +1,6 @@
 #pragma once
-// The names and descriptions that decisions refer to: machine types, zones, teams, images and job
-// classes. Text becomes a dense index here, once; an index never changes within a process.
+// The catalog of machine types, zones, teams, images and job classes. It maps each name to a dense
+// index, which stays the same for the life of the process.
 
 #include <algorithm>
 #include <set>
@@ -14,7 +14,8 @@
 namespace rookdyke {
 
 struct Catalog {
-  // Zones and teams of the settings and the types get the first indices, in their order.
+  // The zones and teams of the settings get the first indices, in the order of the settings; zones
+  // that only machine types name follow.
   Catalog(const Settings& settings, std::vector<MachineType> machine_types)
       : types(std::move(machine_types)) {
     for (const std::string& zone : settings.zones) zones.intern(zone);
@@ -25,7 +26,7 @@
     }
   }
 
-  // Takes over the current prices per hour; types that are not known are ignored.
+  // Updates the prices per hour. Unknown types are ignored.
   void set_prices(const std::vector<MachineType>& current) {
     for (const MachineType& type : current) {
       const Index i = type_names.find(type.name);
@@ -35,7 +36,7 @@
     }
   }
 
-  // The shortest boot time of any type, in seconds; very large without types.
+  // The shortest boot time of any machine type, in seconds; 1e9 if there are no types.
   double shortest_boot_s() const {
     double boot_s = 1e9;
     for (const MachineType& type : types) boot_s = std::min(boot_s, type.boot_s);
@@ -44,7 +45,7 @@
 
   std::vector<MachineType> types;  // by type index
   NameTable type_names, zones, teams, images, job_classes;
-  std::set<Index> prompt_start_images;  // of jobs that are promised a prompt start
+  std::set<Index> prompt_start_images;  // images of jobs with Job::has_start_promise set
 };
 
 }  // namespace rookdyke
--- a/src/scheduler/job_loader.cpp
+++ b/src/scheduler/job_loader.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-// Tasks of a job as a page has them, those of them that count: up to `end`.
+// The tasks up to `end`, exclusive, whose state is taken from `chunk`.
 struct ChunkSlice {
   uint32_t end = 0;
   const CachedChunk* chunk = nullptr;
 };
 using ChunkSlices = std::map<uint32_t, ChunkSlice>;  // by first task, disjoint
 
-// The tasks that a chunk of the ledger is about; empty: they are none of this job's.
+// The tasks that an entry of the ledger holds; nullopt if they are not within the job's tasks.
 std::optional<ledger::TaskRange> tasks_of(const Job& job, const ChunkKey& key,
                                           const CachedChunk& chunk) {
   const uint64_t begin = uint64_t{key.n} * job.chunk_size;
@@ -30,7 +30,7 @@
   return chunk.range;
 }
 
-// Lays a slice over those that are there: what it covers of them counts no more.
+// Adds a slice and cuts the tasks that it covers out of the slices that are already present.
 void overlay(ChunkSlices& slices, uint32_t first, ChunkSlice slice) {
   auto it = slices.upper_bound(first);
   if (it != slices.begin()) --it;
@@ -47,7 +47,7 @@
   slices[first] = slice;
 }
 
-// Says which of a chunk's tasks are not its own; they are passed over.
+// Logs how many entries of a chunk name tasks outside it. load_tasks() ignores these tasks.
 void log_foreign_tasks(const Job& job, const ChunkKey& key, const CachedChunk& cached,
                        const ledger::TaskRange& tasks) {
   const uint32_t end = tasks.first + tasks.count;
@@ -56,11 +56,12 @@
   for (const ledger::LiveAttempt& live : cached.chunk.live)
     foreign += live.task < tasks.first || live.task >= end;
   if (foreign > 0)
-    spdlog::error("ledger: chunk {} of job {}: {} entries are not of its tasks", key.n, job.spec.id,
-                  foreign);
+    spdlog::error("ledger: chunk {} of job {}: {} entries name tasks outside it", key.n,
+                  job.spec.id, foreign);
 }
 
-// Of two pages that hold the same tasks, the one that was written last counts (ledger/rows.h).
+// Resolves which entry of the ledger holds each task. If several pages hold the same task, the page
+// that was written last takes precedence (ledger/rows.h).
 ChunkSlices latest_slices(Job& job, const CachedJob& row) {
   std::vector<std::pair<const ChunkKey*, const CachedChunk*>> by_version;
   for (const auto& [key, chunk] : row.chunks) by_version.emplace_back(&key, &chunk);
@@ -71,7 +72,8 @@
   for (const auto& [key, cached] : by_version) {
     const auto tasks = tasks_of(job, *key, *cached);
     if (!tasks) {
-      spdlog::error("ledger: job {} has no chunk {}", job.spec.id, key->n);
+      spdlog::error("ledger: job {}: ignored chunk {}, whose tasks are not of the job", job.spec.id,
+                    key->n);
       continue;
     }
     job.highest_attempt = std::max(job.highest_attempt, cached->chunk.highest_attempt);
@@ -83,7 +85,7 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- one job
+// ---------------------------------------------------------------- adding a job
 
 Job& JobLoader::add_job(const CachedJob& row, const std::string& id, double now) {
   Job& job = jobs_.add(id);
@@ -93,10 +95,10 @@
   job.version = row.version;
   job.timestamp_s = row.row.timestamp_s;
   job.seen_at = now;
-  if (day_offset_) job.seen_at = std::min(now, job.timestamp_s - *day_offset_);
+  if (time_of_day_offset_) job.seen_at = std::min(now, job.timestamp_s - *time_of_day_offset_);
   job.chunk_size = std::max(1u, row.row.chunk_size);
   resolve_names(job);
-  add_start_promises(job);
+  add_start_objectives(job);
   load_chunks(job, row, now);
   job.done_count = job.done.count();
   for (const MachineType& type : catalog_.types) {
@@ -119,22 +121,24 @@
     if (const Index type = catalog_.type_names.find(name); type != kNone) job.types[type] = true;
 }
 
-void JobLoader::add_start_promises(Job& job) {
+void JobLoader::add_start_objectives(Job& job) {
   const double boot_s = catalog_.shortest_boot_s();
   for (const Objective& objective : settings_.objectives) {
     if (!objective.start || objective.job_class != job.spec.job_class) continue;
     job.start_within.push_back(objective.within_s);
-    // A promise that no machine rented for it could keep; a longer one is kept by the order alone.
+    // A machine rented for the job would boot too late for an objective shorter than the boot time.
+    // For a longer objective, the order of jobs in the queue is sufficient.
     job.has_start_promise = job.has_start_promise || objective.within_s < boot_s;
   }
   std::sort(job.start_within.begin(), job.start_within.end());
-  // A service is wanted at once, and again at once wherever a replica falls.
+  // A replica of a service is to start immediately, both the first time and after each loss.
   job.has_start_promise = job.has_start_promise || job.is_service();
   if (job.has_start_promise) catalog_.prompt_start_images.insert(job.image);
 }
 
-// `version` is of the job's row. A chunk without a page was never written, unless it lies in a page
-// that cannot be read: then it is unknown what runs of it.
+// `version` is the version of the job's row. A chunk without a page was never written, so that all
+// its tasks wait. The exception is a job older than the last write of an unreadable page: that page
+// may hold the chunk, and its tasks may be running, so they are not started.
 void JobLoader::collect_waiting_tasks(Job& job, uint64_t version) {
   for (const auto& [first, place] : job.chunks) {
     if (place.page == kNone && version < pages_.unreadable_revision) continue;
@@ -145,7 +149,8 @@
   if (job.done_count == job.tasks()) jobs_.mark_completed(job);
 }
 
-// What no page holds was never written: it is split at the bounds of the job's chunks.
+// Tasks that no page holds were never written; they are split into chunks at multiples of
+// chunk_size.
 void JobLoader::load_chunks(Job& job, const CachedJob& row, double now) {
   uint32_t next = 0;
   const auto add_unwritten = [&](uint32_t end) {
@@ -167,27 +172,29 @@
 void JobLoader::load_tasks(Job& job, const ledger::TaskRange& tasks, const ledger::Chunk& chunk,
                            double now) {
   const uint32_t end = tasks.first + tasks.count;
-  // A replica is never done: version 0.1 wrote that of services, which it took for arrays.
+  // Replicas of services are never done. Version 0.1 treated services as arrays and wrote some as
+  // done, which is ignored.
   if (!job.is_service())
     for (const auto& [a, b] : chunk.done.ranges())
       for (uint32_t task = std::max(a, tasks.first); task < end && task <= b; ++task)
         job.done.add(task);
   for (const ledger::LiveAttempt& live : chunk.live) {
-    // A second attempt of a task is passed over.
+    // Only the first attempt of a task is loaded.
     if (live.task < tasks.first || live.task >= end || job.attempts.count(live.task)) continue;
     lifecycle_.restore(job, live, now);
   }
 }
 
-// cancel_s does not begin anew with each leader: it runs from when the row was written.
+// The cancellation deadline (cancel_s) runs from the time of day in the row, so that a failover
+// does not restart it.
 void JobLoader::cancel(Job& job, const CachedJob& row, double now) {
   double cancelled_at = now;
-  if (day_offset_ && row.row.timestamp_s > 0)
-    cancelled_at = std::min(now, row.row.timestamp_s - *day_offset_);
+  if (time_of_day_offset_ && row.row.timestamp_s > 0)
+    cancelled_at = std::min(now, row.row.timestamp_s - *time_of_day_offset_);
   lifecycle_.cancel(job, row.version, cancelled_at);
 }
 
-// ---------------------------------------------------------------- taking over
+// ---------------------------------------------------------------- takeover
 
 void JobLoader::load_pages(const LedgerCache& ledger) {
   for (const auto& [n, cached] : ledger.pages()) {
@@ -206,19 +213,18 @@
 
 void JobLoader::load_job(const CachedJob& row, const std::string& id, double now) {
   if (row.version == 0 || !row.readable) return keep_unreadable_job(id, row);
-  // What pages still say of a job that is done serves nobody; of a cancelled one, its tasks may
-  // still be on machines.
+  // Entries of a done job are obsolete. Tasks of a cancelled job may still be on machines.
   const ledger::JobStatus status = row.row.status;
   if (status == ledger::JobStatus::done) return;
   if (status == ledger::JobStatus::cancelled && row.chunks.empty()) return;
   Job& job = add_job(row, id, now);
   if (status == ledger::JobStatus::cancelled) return cancel(job, row, now);
-  // A gang whose start was committed in part, or that lost a task: it starts anew as a whole.
+  // A gang that was only partly started, or that lost a task, restarts as a whole.
   if (job.is_gang() && !job.attempts.empty() && !job.waiting.empty())
     for (auto& [task, attempt] : job.attempts) lifecycle_.stop(job, attempt, 0);
 }
 
-// What pages say of a job whose row cannot be read stays in them as it is.
+// Keeps the chunks of a job whose row cannot be read unchanged in their pages.
 void JobLoader::keep_unreadable_job(const std::string& id, const CachedJob& row) {
   for (const auto& [key, cached] : row.chunks) {
     Page& page = pages_.at_least(cached.page);
@@ -227,17 +233,17 @@
   }
 }
 
-// ---------------------------------------------------------------- rows that change
+// ---------------------------------------------------------------- changed rows
 
 bool JobLoader::on_job_row(const CachedJob& row, const std::string& id, double now) {
-  // An older row of a job that is over, seen late, must not bring it back (rule went_back).
+  // A late, older row must not bring back a finished job (rule went_back of tests/checker).
   const Index known = jobs_.index_of(id);
   if (known != kNone && jobs_.was_erased(known)) return false;
   Job* job = jobs_.find(known);
   if (!job) {
     if (row.row.status != ledger::JobStatus::open) return false;
     add_job(row, id, now);
-    spdlog::debug("job {}: {} tasks of {}", id, row.row.tasks, row.row.spec->job_class);
+    spdlog::debug("job {}: added {} tasks of class {}", id, row.row.tasks, row.row.spec->job_class);
     return true;
   }
   if (row.version <= job->version) return false;
@@ -246,8 +252,9 @@
     cancel(*job, row, now);
   } else if (row.row.status == ledger::JobStatus::done && job->state != JobState::done &&
              job->state != JobState::closing) {
-    // Only a leader writes this; where a write of ours is open, its result will say so.
-    claim_.lose("job " + id + " was closed by somebody else");
+    // Only leaders mark jobs as done. While this leader's own write of that is in flight, the job
+    // is in state closing, and the result of the write decides.
+    claim_.lose("job " + id + " was marked done by another controller");
   }
   return false;
 }
--- a/src/scheduler/job_loader.h
+++ b/src/scheduler/job_loader.h
@@ -1,6 +1,6 @@
 #pragma once
-// Turns the ledger's rows into jobs: all of them as a new leader takes over, single ones as users
-// submit or cancel. What cannot be read is logged, kept as it is, and never believed.
+// Builds jobs from the ledger's rows: all rows when a new leader takes over, single rows when users
+// submit or cancel jobs. Unreadable rows are logged, left unchanged and not used for decisions.
 
 #include <cstdint>
 #include <map>
@@ -29,12 +29,13 @@
         lifecycle_(lifecycle),
         claim_(claim) {}
 
-  // The time of day minus the steady clock, in seconds; lets a job's age be known after a failover.
-  void set_day_offset(double offset_s) { day_offset_ = offset_s; }
+  // Sets the difference between the time of day and the steady clock, in seconds. It is needed to
+  // compute the age of jobs that were accepted before a failover.
+  void set_time_of_day_offset(double offset_s) { time_of_day_offset_ = offset_s; }
 
-  // Takes over everything committed so far, as the cache holds it behind a read barrier.
+  // Loads all committed rows. `ledger` must be current as of a read barrier.
   void load(const LedgerCache& ledger, double now);
-  // A job's row appeared or changed. True: there is a new job.
+  // Applies a new or changed job row. Returns whether it added a job.
   bool on_job_row(const CachedJob& row, const std::string& id, double now);
 
  private:
@@ -42,7 +43,7 @@
   void load_job(const CachedJob& row, const std::string& id, double now);
   Job& add_job(const CachedJob& row, const std::string& id, double now);
   void resolve_names(Job& job);
-  void add_start_promises(Job& job);
+  void add_start_objectives(Job& job);
   void collect_waiting_tasks(Job& job, uint64_t version);
   void load_chunks(Job& job, const CachedJob& row, double now);
   void load_tasks(Job& job, const ledger::TaskRange& tasks, const ledger::Chunk& chunk, double now);
@@ -55,7 +56,7 @@
   PageTable& pages_;
   TaskLifecycle& lifecycle_;
   LeadershipClaim& claim_;
-  std::optional<double> day_offset_;
+  std::optional<double> time_of_day_offset_;
 };
 
 }  // namespace rookdyke
--- a/src/scheduler/job_table.h
+++ b/src/scheduler/job_table.h
@@ -1,6 +1,6 @@
 #pragma once
-// The jobs that the leader schedules, by dense index. Owns them and their names; the only place
-// where a job's state changes. Whoever changes a job's attempts goes through TaskLifecycle.
+// The jobs that the leader schedules, by dense index. Owns the jobs and their names. Only this
+// class changes a job's state; only TaskLifecycle adds and removes a job's attempts.
 
 #include <cstddef>
 #include <memory>
@@ -17,9 +17,10 @@
  public:
   using Jobs = std::vector<std::unique_ptr<Job>>;
 
-  // A new job of that name, in place of one that may be there. Its id is set, and nothing else.
+  // Adds a job with that name and replaces an existing one. Only Job::id is set.
   Job& add(const std::string& name);
-  // Forgets a job that is over. It is never taken up again: was_erased() stays true.
+  // Removes a finished job. was_erased() stays true for its index, so that the job is not added
+  // again.
   void erase(Index job);
   bool was_erased(Index job) const { return job < erased_.size() && erased_[job]; }
 
@@ -27,25 +28,26 @@
   const Job* find(Index job) const { return job < jobs_.size() ? jobs_[job].get() : nullptr; }
   Job* find(const std::string& name) { return find(names_.find(name)); }
   const Job* find(const std::string& name) const { return find(names_.find(name)); }
-  // The index of a name that was ever added; else kNone.
+  // The index of the name, also after erase(); kNone if it was never added.
   Index index_of(const std::string& name) const { return names_.find(name); }
 
-  // The job must be there.
+  // Requires that the job is in the table.
   Job& operator[](Index job) { return *jobs_[job]; }
   const Job& operator[](Index job) const { return *jobs_[job]; }
 
-  // By job index; empty where a job is over or unknown.
+  // Iterates by job index. Elements are null for indices without a job.
   Jobs::const_iterator begin() const { return jobs_.begin(); }
   Jobs::const_iterator end() const { return jobs_.end(); }
-  // Jobs that are there, whatever their state.
+  // Number of jobs in the table, in any state.
   size_t count() const { return count_; }
 
-  // Open jobs all of whose tasks are done: their final state is to be written.
+  // Open jobs whose tasks are all done and whose final state is not durable yet.
   const std::set<Index>& completed() const { return completed_; }
   void mark_completed(const Job& job) { completed_.insert(job.id); }
   void unmark_completed(const Job& job) { completed_.erase(job.id); }
 
-  // False: the state machine has no such step, which is logged; nothing changes.
+  // Returns false, changes nothing and logs an error if the state machine does not allow the
+  // transition.
   static bool set_state(Job& job, JobState to);
 
  private:
--- a/src/scheduler/machine_table.cpp
+++ b/src/scheduler/machine_table.cpp
@@ -21,8 +21,8 @@
 bool MachineTable::set_state(Machine& machine, MachineState to, const char* reason) {
   if (machine.state == to) return true;
   if (!allowed(machine.state, to)) {
-    spdlog::error("machine {}: no step from {} to {} ({})", machine.name, to_string(machine.state),
-                  to_string(to), reason);
+    spdlog::error("machine {}: invalid state transition from {} to {} ({})", machine.name,
+                  to_string(machine.state), to_string(to), reason);
     return false;
   }
   spdlog::info("machine {}: {} -> {} ({})", machine.name, to_string(machine.state), to_string(to),
--- a/src/scheduler/machine_table.h
+++ b/src/scheduler/machine_table.h
@@ -1,6 +1,6 @@
 #pragma once
-// The machines that the leader knows, by dense index. Owns them and their names, keeps the list of
-// rented machines told of changes, and is the only place where a machine's state changes.
+// The machines that the leader knows, by dense index. Owns the machines and their names, and marks
+// changes in the list of rented machines. Only this class changes a machine's state.
 
 #include <memory>
 #include <string>
@@ -19,29 +19,32 @@
   // `rented` must outlive the table.
   explicit MachineTable(RentedList& rented) : rented_(rented) {}
 
-  // The machine of that name; a new one, booting since now, if there was none.
+  // Returns the machine with that name. Adds it in state booting, rented at `now`, if it is
+  // missing.
   Machine& get_or_add(const std::string& name, double now);
-  // The index of a name that was ever added; else kNone.
+  // kNone if no machine with that name was added.
   Index index_of(const std::string& name) const { return names_.find(name); }
 
   Machine& operator[](Index machine) { return *machines_[machine]; }
   const Machine& operator[](Index machine) const { return *machines_[machine]; }
   size_t size() const { return machines_.size(); }
 
-  // By machine index, none empty. Terminated machines stay: late heartbeats and lagging lists still
-  // name them, and must not bring them back.
+  // Iterates by machine index; no element is null. Terminated machines stay in the table, because
+  // late heartbeats and outdated machine lists still name them and must not add them again.
   Machines::const_iterator begin() const { return machines_.begin(); }
   Machines::const_iterator end() const { return machines_.end(); }
   const Machines& all() const { return machines_; }
 
-  // What the rented list says of the machine has changed.
+  // Marks the machine's entry in the rented list as changed.
   void mark_changed(const Machine& machine) { rented_.mark_changed(machine.index); }
 
-  // False: the state machine has no such step, which is logged; nothing changes.
+  // Returns false, changes nothing and logs an error if the state machine does not allow the
+  // transition.
   static bool set_state(Machine& machine, MachineState to, const char* reason);
-  // Takes no new work, and is returned once it is empty. Nothing happens unless it is ready.
+  // Drains the machine: it gets no new tasks and is returned once it is empty. Does nothing unless
+  // the machine is ready.
   static void drain(Machine& machine, double now, const char* reason);
-  // Is returned as soon as the cloud takes the call, whatever runs there.
+  // Marks the machine to be returned to the cloud as soon as possible, whatever runs on it.
   static void terminate(Machine& machine, const char* reason) {
     set_state(machine, MachineState::terminating, reason);
   }
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -8,8 +8,9 @@
 namespace rookdyke {
 
 namespace {
-// A job whose row moved under us is heard of within a watch; after this something is wrong.
-constexpr double kStaleFor = 10;
+// The watch normally delivers a row that another controller changed well within this time. If it
+// does not, something is wrong, and this leader steps down.
+constexpr double kStaleJobTimeoutS = 10;
 }  // namespace
 
 Scheduler::Scheduler(Settings settings, std::vector<MachineType> types, uint64_t fencing_token,
@@ -51,7 +52,7 @@
   size_t live = 0;
   for (const auto& job : jobs_)
     if (job) live += job->attempts.size();
-  spdlog::info("taken over: {} jobs, {} attempts, {} machines known", jobs_.count(), live,
+  spdlog::info("takeover: loaded {} jobs, {} attempts, {} machines", jobs_.count(), live,
                machines_.size());
 }
 
@@ -70,15 +71,15 @@
   return n;
 }
 
-HeartbeatReply Scheduler::on_heartbeat(const Heartbeat& report, double now) {
-  HeartbeatOutcome outcome = heartbeats_.on_heartbeat(report, now);
+HeartbeatReply Scheduler::on_heartbeat(const Heartbeat& heartbeat, double now) {
+  HeartbeatOutcome outcome = heartbeats_.on_heartbeat(heartbeat, now);
   if (outcome.needs_round) needs_round_ = true;
   return std::move(outcome.reply);
 }
 
-void Scheduler::on_direct_command_result(const DirectCommand& d, bool answered,
-                                         const std::optional<Heartbeat>& report, double now) {
-  if (direct_commands_.on_result(d, answered, report, now)) needs_round_ = true;
+void Scheduler::on_direct_command_result(const DirectCommand& command, bool outcome_known,
+                                         const std::optional<Heartbeat>& heartbeat, double now) {
+  if (direct_commands_.on_result(command, outcome_known, heartbeat, now)) needs_round_ = true;
 }
 
 void Scheduler::round(double now) {
@@ -88,9 +89,9 @@
   monitor_.check_machines(now);
   demand_.sample_if_due(now);
   for (const auto& job : jobs_)
-    if (job && job->is_stale() && now - job->stale_since > kStaleFor) {
-      // Known to the end: a row that contradicts us and that no watch brings is read from scratch.
-      claim_.lose("the row of job " + job->spec.id + " is not as we know it");
+    if (job && job->is_stale() && now - job->stale_since > kStaleJobTimeoutS) {
+      // The watch did not deliver the changed row. The next leader reads all rows from scratch.
+      claim_.lose("the row of job " + job->spec.id + " changed, and the watch did not deliver it");
       return;
     }
   placement_.place(now, backlog());
@@ -110,7 +111,7 @@
     if (m->state == MachineState::ready) ++s.ready;
     if (m->state == MachineState::booting) ++s.booting;
     if (m->state == MachineState::draining) ++s.draining;
-    if (monitor_.is_silent(*m, now)) ++s.silent;
+    if (monitor_.is_silent(*m, now)) ++s.missing_heartbeats;
   }
   s.target = demand_.total_target();
   return s;
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -1,18 +1,18 @@
 #pragma once
-// The leader's scheduler: composes the parts that decide and passes events on to them. Events come
-// in (time, heartbeats, job rows, outcomes of transactions, machine lists), requests go out
-// (transactions, commands, rentals, returns). Pure and single-threaded: it has no sockets, clocks
-// or randomness of its own, so that scenarios drive it in simulated time. `now` is always the
-// steady clock of this process, in seconds.
+// The leader's scheduler. It composes the components below and dispatches events to them. Its
+// inputs are time, heartbeats, job rows, transaction results and machine lists; its outputs are
+// transactions, commands, rentals and returns. It is single-threaded and has no sockets, clocks or
+// randomness of its own, so that scenarios can run it in simulated time. `now` is always the steady
+// clock of this process, in seconds.
 //
-// Its parts, each with state of its own:
+// Components, each with its own state:
 //   JobTable, MachineTable, Catalog, TeamUsage, PageTable   tables
-//   TaskLifecycle, JobLoader          attempts from proposal to release; rows to jobs
-//   HeartbeatHandler, DirectCommands  what workers report, and what they are commanded
-//   MachineMonitor                    machines that are silent, late or to be given up
+//   TaskLifecycle, JobLoader          attempts from proposal to release; loading of job rows
+//   HeartbeatHandler, DirectCommands  heartbeats from workers and commands to them
+//   MachineMonitor                    heartbeat timeouts, boot timeouts, machines to be returned
 //   DemandModel, FleetPlanner, CloudRequests   scale-out and scale-in
-//   Placement                         what runs where, preemption
-//   LedgerWriter                      what becomes durable, and when
+//   Placement                         placement of tasks on machines, preemption
+//   LedgerWriter                      transactions on the ledger
 
 #include <cstddef>
 #include <cstdint>
@@ -63,52 +63,55 @@
  public:
   Scheduler(Settings settings, std::vector<MachineType> types, uint64_t fencing_token, double now);
 
-  // The time of day minus the steady clock; lets a job's age be known after a failover.
-  void set_day_offset(double s) { loader_.set_day_offset(s); }
-  // Takes over: everything committed so far, as the ledger cache holds it behind a read barrier.
+  // Sets the difference between the time of day and the steady clock, in seconds. It is needed to
+  // compute the age of jobs that were accepted before a failover.
+  void set_time_of_day_offset(double offset_s) { loader_.set_time_of_day_offset(offset_s); }
+  // Loads all committed state at a takeover. `ledger_cache` must be current as of a read barrier.
   void load(const LedgerCache& ledger_cache, double now);
-  // Which images machines hold, as far as is known: a hint for a successor, which would otherwise
-  // have everything fetched anew. Nothing correct rests on it.
+  // The known contents of the machines' image caches: a hint that saves a successor image fetches.
+  // Correctness does not depend on it.
   nlohmann::json image_locations() const { return images_.image_locations(); }
   void load_image_locations(const nlohmann::json& locations, double now) {
     images_.load_image_locations(locations, now);
   }
-  // A job's row appeared or changed (users' submissions and aborts).
+  // Applies a job row that appeared or changed because a user submitted or cancelled the job.
   void on_job_row(const CachedJob& row, const std::string& id, double now);
   void set_prices(const std::vector<MachineType>& types) { catalog_.set_prices(types); }
 
-  // A worker's heartbeat; the reply is for it alone.
-  HeartbeatReply on_heartbeat(const Heartbeat& report, double now);
+  // Applies a worker's heartbeat and returns the reply to it.
+  HeartbeatReply on_heartbeat(const Heartbeat& heartbeat, double now);
 
-  // Direct commands: starts that are durable, and stops, for one machine at a time.
+  // The next direct command to send, if any: durable starts and stops for one machine.
   std::optional<DirectCommand> next_direct_command(double now) {
     return direct_commands_.next(now);
   }
-  // `answered`: the worker executed or refused them, or they were never sent. `report`: the state
-  // of its tasks, if it came back.
-  void on_direct_command_result(const DirectCommand& d, bool answered,
-                                const std::optional<Heartbeat>& report, double now);
-  // Something happened that a round should look at soon.
+  // `outcome_known`: the worker executed or refused the commands, or they were never sent; false if
+  // they may still be executed. `heartbeat`: the heartbeat in the worker's response, if any.
+  void on_direct_command_result(const DirectCommand& command, bool outcome_known,
+                                const std::optional<Heartbeat>& heartbeat, double now);
+  // Whether an event since the last scheduling round calls for another one soon.
   bool needs_round() const { return needs_round_; }
 
-  // This process did not run for so many seconds: the machines' silence meanwhile was its own.
-  void on_process_stall(double s, double now) { monitor_.on_process_stall(s, now); }
+  // Reports that this process was stalled for `stall_s` seconds. Heartbeats missed during the stall
+  // do not count against the machines.
+  void on_process_stall(double stall_s, double now) { monitor_.on_process_stall(stall_s, now); }
 
-  // One round of decisions.
+  // Runs one scheduling round.
   void round(double now);
-  // What a leader that could not renew its lease may still decide: machines that keep cancelled
-  // work are returned. It starts nothing.
+  // Terminates machines that hold tasks of cancelled jobs and are unreachable or have not stopped
+  // these in time. It starts nothing, so that an unconfirmed leader may call it.
   void release_cancelled_work(double now) { monitor_.release_cancelled_work(now); }
-  // Whether starts may be commanded: not by a leader that may not have heard of the latest
+  // Allows or forbids start commands. They are forbidden while this leader may not know the latest
   // cancellations.
   void allow_starts(bool allowed) { start_permission_.allow_starts(allowed); }
 
-  // Transactions: at most one in flight per chunk.
-  // `room`: so many changes may be made at once; a single row always may.
-  std::optional<PendingTransaction> next_transaction(double now, size_t room = SIZE_MAX) {
-    return ledger_writer_.next_transaction(now, room);
+  // The next transaction to send, if any; at most one is in flight per chunk. `max_changes` limits
+  // the changes in it, but a change of a single row is always allowed.
+  std::optional<PendingTransaction> next_transaction(double now, size_t max_changes = SIZE_MAX) {
+    return ledger_writer_.next_transaction(now, max_changes);
   }
-  size_t unsent() const { return ledger_writer_.unsent(); }  // rows that wait to be written
+  // Rows that are to be written and transactions in flight.
+  size_t unsent() const { return ledger_writer_.unsent(); }
   void on_result(uint64_t id, const ledger::Result& result, double now);
 
   std::optional<RentalRequest> next_rental_request(double now) {
@@ -118,36 +121,45 @@
                         const std::vector<std::string>& machines, double now) {
     cloud_requests_.on_rental_result(request, outcome, machines, now);
   }
-  // `cancelled_only`: those that hold work of cancelled jobs.
+  // Names of machines to return to the cloud now. `cancelled_only`: only machines that hold tasks
+  // of cancelled jobs.
   std::vector<std::string> next_return(double now, bool cancelled_only = false) {
     return cloud_requests_.next_return(now, cancelled_only);
   }
   void on_return(const std::vector<std::string>& names, CloudOutcome outcome, double now) {
     cloud_requests_.on_return(names, outcome, now);
   }
-  // A list read from the cloud, asked for at `asked`.
-  void on_machine_list(const std::vector<ListedMachine>& list, double asked, double now) {
-    cloud_requests_.on_machine_list(list, asked, now);
+  // Applies the cloud's machine list, which was requested at `requested_at`.
+  void on_machine_list(const std::vector<ListedMachine>& list, double requested_at, double now) {
+    cloud_requests_.on_machine_list(list, requested_at, now);
   }
 
   uint64_t fencing_token() const { return claim_.fencing_token(); }
-  // The state service has lowered its limits to Settings::next_limits: what is larger is split.
+  // Switches to Settings::next_limits after the state service lowered its limits. Larger pages are
+  // split.
   void apply_lowered_limits() { ledger_writer_.apply_lowered_limits(); }
   bool uses_lowered_limits() const { return ledger_writer_.uses_lowered_limits(); }
 
-  // A newer leader has acted, or the ledger contradicts us: stop leading.
+  // Whether this controller must step down, because a newer leader has acted or the ledger
+  // contradicts this leader's state.
   bool has_lost_leadership() const { return claim_.is_lost(); }
-  // Most machines that reported to us have fallen silent: the silence is likely ours.
+  // Whether most registered machines miss heartbeats, which points to a fault of this controller or
+  // its network.
   bool receives_no_heartbeats(double now) const { return monitor_.receives_no_heartbeats(now); }
 
-  size_t backlog() const;  // waiting tasks and unsent transactions, for the round's width
+  // Waiting tasks, at most 64 per job, plus unsent(). The number of tasks that a round may start
+  // grows with it.
+  size_t backlog() const;
   struct Summary {
-    size_t jobs = 0, waiting = 0, live = 0, ready = 0, booting = 0, draining = 0, silent = 0;
-    double target = 0;
+    // `waiting` counts tasks without an attempt, `live` attempts, the others but `jobs` machines.
+    size_t jobs = 0, waiting = 0, live = 0, ready = 0, booting = 0, draining = 0,
+           missing_heartbeats = 0;
+    double target = 0;  // machines that the demand requires
   };
   Summary summary(double now) const;
   const std::vector<std::unique_ptr<Machine>>& machines() const { return machines_.all(); }
-  // How much was done, for checks that it follows what changed and not the size of everything.
+  // Counts of jobs and machines examined. Checks use them to verify that the cost of a round
+  // depends on what changed and not on the size of the deployment.
   using Work = WorkCounters;
   const Work& work() const { return work_; }
   const Job* find_job(const std::string& id) const;
--- a/src/scheduler/task_lifecycle.cpp
+++ b/src/scheduler/task_lifecycle.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-// A replica that ran for less waits ever longer for its next start.
-constexpr double kShortRun = 10;
-constexpr double kFirstBackOff = 1;
-constexpr double kLongestBackOff = 60;
+// The back-off between starts doubles with each run of a replica that is shorter than this.
+constexpr double kShortReplicaRunS = 10;
+constexpr double kBackOffBaseS = 1;
+constexpr double kMaxBackOffS = 60;
 constexpr uint32_t kMaxBackOffDoublings = 6;
-// After a worker refused a start.
-constexpr double kRefusedBackOff = 1;
+// Back-off after a worker refused a start.
+constexpr double kRefusedStartBackOffS = 1;
 
 WriteUrgency start_urgency(const Job& job) {
   if (job.is_service()) return WriteUrgency::replica;
@@ -28,8 +28,8 @@
 bool TaskLifecycle::set_state(Job& job, Attempt& attempt, AttemptState to) {
   if (attempt.state == to) return true;
   if (!allowed(attempt.state, to)) {
-    spdlog::error("task {}/{} attempt {}: no step from {} to {}", job.spec.id, attempt.task,
-                  attempt.number, to_string(attempt.state), to_string(to));
+    spdlog::error("task {}/{} attempt {}: invalid state transition from {} to {}", job.spec.id,
+                  attempt.task, attempt.number, to_string(attempt.state), to_string(to));
     return false;
   }
   spdlog::debug("task {}/{} attempt {} on {}: {} -> {}", job.spec.id, attempt.task, attempt.number,
@@ -40,7 +40,7 @@
 
 // ---------------------------------------------------------------- proposals
 
-void TaskLifecycle::occupy(Job& job, Attempt attempt) {
+void TaskLifecycle::allocate_resources(Job& job, Attempt attempt) {
   Machine& machine = machines_[attempt.machine];
   machine.tasks.emplace_back(job.id, attempt.task);
   machine.used += job.spec.per_task;
@@ -48,8 +48,8 @@
   job.attempts[attempt.task] = attempt;
 }
 
-// Gives back what an attempt takes of its machine and its team.
-void TaskLifecycle::vacate(Job& job, const Attempt& attempt) {
+// Frees the attempt's resources on its machine and in its team's usage.
+void TaskLifecycle::deallocate_resources(Job& job, const Attempt& attempt) {
   Machine& machine = machines_[attempt.machine];
   std::erase(machine.tasks, std::make_pair(job.id, attempt.task));
   machine.used -= job.spec.per_task;
@@ -58,24 +58,25 @@
 }
 
 void TaskLifecycle::propose(Job& job, uint32_t task, uint64_t number, Machine& machine,
-                            bool shielded, double now) {
+                            bool preemption_exempt, double now) {
   Attempt attempt;
   attempt.task = task;
   attempt.number = number;
   attempt.machine = machine.index;
   attempt.epoch = machine.epoch;
   attempt.since = now;
-  attempt.shielded = shielded;
-  occupy(job, attempt);
+  attempt.shielded = preemption_exempt;
+  allocate_resources(job, attempt);
   job.waiting.erase(task);
   ++job.proposed;
   job.highest_attempt = std::max(job.highest_attempt, number);
   pages_.mark_changed(job, task, start_urgency(job), now);
-  spdlog::debug("task {}/{} attempt {}: proposed for {}", job.spec.id, task, number, machine.name);
+  spdlog::debug("task {}/{} attempt {}: proposed on machine {}", job.spec.id, task, number,
+                machine.name);
 }
 
-// Invariant 3: what a predecessor committed counts as being there until its machine proves
-// otherwise.
+// An attempt that a predecessor committed counts as being on its machine until the opposite is
+// proven (invariant 3).
 void TaskLifecycle::restore(Job& job, const ledger::LiveAttempt& live, double now) {
   Machine& machine = machines_.get_or_add(live.machine, now);
   machine.was_up = true;
@@ -86,10 +87,10 @@
   attempt.epoch = live.epoch;
   attempt.state = AttemptState::placed;
   attempt.since = now;
-  occupy(job, attempt);
+  allocate_resources(job, attempt);
 }
 
-bool TaskLifecycle::proposal_stands(const Attempt& attempt) const {
+bool TaskLifecycle::is_proposal_valid(const Attempt& attempt) const {
   const Machine& machine = machines_[attempt.machine];
   return machine.state == MachineState::ready && !machine.cordoned &&
          machine.epoch == attempt.epoch;
@@ -98,7 +99,7 @@
 void TaskLifecycle::withdraw_proposals(Job& job, bool all) {
   if (job.proposed == 0) return;
   const auto is_void = [this](const Attempt& attempt) {
-    return attempt.state == AttemptState::proposed && !proposal_stands(attempt);
+    return attempt.state == AttemptState::proposed && !is_proposal_valid(attempt);
   };
   const bool any = all || std::any_of(job.attempts.begin(), job.attempts.end(),
                                       [&](const auto& entry) { return is_void(entry.second); });
@@ -108,7 +109,7 @@
     const uint32_t task = it->first;
     const Attempt& attempt = it->second;
     const bool withdrawn =
-        attempt.state == AttemptState::proposed && (all || !proposal_stands(attempt));
+        attempt.state == AttemptState::proposed && (all || !is_proposal_valid(attempt));
     ++it;
     if (withdrawn) release(job, task);
   }
@@ -118,31 +119,31 @@
   if (!set_state(job, attempt, AttemptState::placed)) return;
   --job.proposed;
   commands_.add(attempt.machine);
-  // The last of a gang to be committed makes all of it ready to be ordered.
+  // Once the last task of a gang is durable, all its tasks may be commanded to start.
   if (job.is_gang() && job.proposed == 0)
     for (const auto& [task, other] : job.attempts) commands_.add(other.machine);
-  // Last: it may erase the job.
+  // This comes last because it may erase the job.
   if (machines_[attempt.machine].state == MachineState::terminated)
-    end(job, attempt.task, ExitCause::none, now, "its machine went while it was committed");
-  else if (!proposal_stands(attempt))
+    end(job, attempt.task, ExitCause::none, now, "machine terminated before the start was durable");
+  else if (!is_proposal_valid(attempt))
     stop(job, attempt, 0);
 }
 
-// ---------------------------------------------------------------- stops and ends
+// ---------------------------------------------------------------- stop and end of attempts
 
 void TaskLifecycle::stop(Job& job, Attempt& attempt, double grace_s) {
   if (attempt.state == AttemptState::ended) return;
   if (attempt.stop && grace_s >= attempt.grace_s) return;
   if (!attempt.stop)
-    spdlog::debug("task {}/{} attempt {}: to be stopped, {} s to save", job.spec.id, attempt.task,
-                  attempt.number, grace_s);
+    spdlog::debug("task {}/{} attempt {}: stop requested, {} s for a checkpoint", job.spec.id,
+                  attempt.task, attempt.number, grace_s);
   attempt.stop = true;
   attempt.grace_s = grace_s;
   commands_.add(attempt.machine);
 }
 
-// A gang saves only when all its tasks are told to within gang_peer_s, so the commands for all go
-// out together, whichever machine has to be left.
+// A gang checkpoints only if all its tasks receive the stop command within gang_peer_s, so the
+// commands for all tasks are issued together.
 void TaskLifecycle::stop_with_gang(Job& job, Attempt& attempt, double grace_s) {
   if (!job.is_gang()) return stop(job, attempt, grace_s);
   const uint64_t number = attempt.number;
@@ -154,27 +155,27 @@
   auto it = job.attempts.find(task);
   if (it == job.attempts.end() || it->second.state == AttemptState::ended) return;
   Attempt& attempt = it->second;
-  if (attempt.state == AttemptState::proposed) return;  // settled by its transaction
+  if (attempt.state == AttemptState::proposed) return;  // its transaction decides the outcome
   if (!set_state(job, attempt, AttemptState::ended)) return;
   attempt.cause = cause;
-  spdlog::debug("task {}/{} attempt {} is off ({}, cause {})", job.spec.id, task, attempt.number,
-                reason, static_cast<int>(cause));
-  vacate(job, attempt);
+  spdlog::debug("task {}/{} attempt {} ended ({}, exit cause {})", job.spec.id, task,
+                attempt.number, reason, static_cast<int>(cause));
+  deallocate_resources(job, attempt);
   if (job.state == JobState::cancelled) {
     erase_if_finished(job.id);
     return;
   }
-  // A task that has to run again waits for this write.
+  // A task that has to run again cannot be placed until this write is durable.
   WriteUrgency urgency = cause != ExitCause::done ? WriteUrgency::restart : WriteUrgency::none;
   if (job.is_service()) {
     urgency = WriteUrgency::replica;
     job.missing_since = now;
   }
   pages_.mark_changed(job, task, urgency, now);
-  after_end(job, attempt, now);
+  apply_exit_cause(job, attempt, now);
 }
 
-bool TaskLifecycle::is_gang_gathering(const Job& job) {
+bool TaskLifecycle::is_gang_starting(const Job& job) {
   bool any = false;
   for (const auto& [task, attempt] : job.attempts) {
     if (attempt.state == AttemptState::ended) continue;
@@ -184,7 +185,8 @@
   return any;
 }
 
-// The task has succeeded, and with it all of its gang, whose tasks complete together.
+// Marks the task as done. In a gang, one successful task marks all tasks as done, because they
+// complete together.
 void TaskLifecycle::complete(Job& job, const Attempt& attempt) {
   if (job.is_gang()) {
     for (uint32_t task = 0; task < job.tasks(); ++task)
@@ -198,44 +200,48 @@
   if (job.done_count == job.tasks()) jobs_.mark_completed(job);
 }
 
-// A replica has ended without our word: it runs again, later if it ends at once each time.
+// Sets the back-off of a service after a replica exited that was not told to stop. The back-off
+// grows with each short run.
 void TaskLifecycle::back_off_replica(Job& job, const Attempt& attempt, double now) {
-  const bool ran = attempt.running_since > 0 && now - attempt.running_since > kShortRun;
-  if (ran || attempt.cause == ExitCause::error) return;  // errors are judged with their machine
+  const bool ran = attempt.running_since > 0 && now - attempt.running_since > kShortReplicaRunS;
+  // FaultDetector handles exits with an error, because the machine may be at fault.
+  if (ran || attempt.cause == ExitCause::error) return;
   ++job.errors;
-  const double wait = std::min(
-      kLongestBackOff, kFirstBackOff * std::exp2(std::min(job.errors, kMaxBackOffDoublings)));
+  const double wait =
+      std::min(kMaxBackOffS, kBackOffBaseS * std::exp2(std::min(job.errors, kMaxBackOffDoublings)));
   job.not_before = std::max(job.not_before, now + wait);
 }
 
-void TaskLifecycle::after_end(Job& job, const Attempt& attempt, double now) {
-  const bool of_itself = attempt.cause != ExitCause::none && attempt.cause != ExitCause::stopped;
-  if (job.is_service() && of_itself) back_off_replica(job, attempt, now);
+void TaskLifecycle::apply_exit_cause(Job& job, const Attempt& attempt, double now) {
+  const bool exited_unasked =
+      attempt.cause != ExitCause::none && attempt.cause != ExitCause::stopped;
+  if (job.is_service() && exited_unasked) back_off_replica(job, attempt, now);
   if (attempt.cause == ExitCause::done && !job.is_service()) return complete(job, attempt);
-  // A gang that still gathers waits for a replacement, if the worker that was lost can hold nothing
-  // of this attempt any more. Otherwise the rest cannot go on without it; what does not leave by
-  // itself is stopped.
-  if (job.is_gang() && (attempt.cause != ExitCause::none || !is_gang_gathering(job)))
+  // A gang that is still starting waits for a replacement if the task's worker was lost and can no
+  // longer hold this attempt. Otherwise the other tasks cannot continue without this one and are
+  // stopped, unless they exit first.
+  if (job.is_gang() && (attempt.cause != ExitCause::none || !is_gang_starting(job)))
     for (auto& [task, other] : job.attempts)
       if (other.number == attempt.number) stop(job, other, 0);
   if (attempt.cause == ExitCause::unknown_task ||
       attempt.cause == ExitCause::insufficient_resources ||
       attempt.cause == ExitCause::already_present)
-    job.not_before = std::max(job.not_before, now + kRefusedBackOff);
+    job.not_before = std::max(job.not_before, now + kRefusedStartBackOffS);
 }
 
 void TaskLifecycle::release(Job& job, uint32_t task) {
   auto it = job.attempts.find(task);
   if (it == job.attempts.end()) return;
   const Attempt& attempt = it->second;
-  // Never started: a proposal that did not become durable, or a gang proven done elsewhere.
-  if (attempt.state != AttemptState::ended) vacate(job, attempt);
+  // The attempt still holds resources if it is a withdrawn proposal, or if it belongs to a gang of
+  // which another task has reported success.
+  if (attempt.state != AttemptState::ended) deallocate_resources(job, attempt);
   if (attempt.state == AttemptState::proposed) --job.proposed;
   job.attempts.erase(it);
   if (job.state == JobState::open && !job.done.has(task)) job.waiting.insert(task);
 }
 
-// ---------------------------------------------------------------- jobs that are over
+// ---------------------------------------------------------------- finished jobs
 
 void TaskLifecycle::cancel(Job& job, uint64_t version, double cancelled_at) {
   if (job.is_finished()) return;
@@ -245,8 +251,9 @@
   job.stale_since = -1;
   job.waiting.clear();
   jobs_.unmark_completed(job);
-  // Nobody has any use for what its tasks do: no time to save. Proposals whose transaction is in
-  // flight are settled by its result; the job's version changed, so most will fail.
+  // The results are not needed, so there is no grace period for a checkpoint. The outcome of a
+  // proposal whose transaction is in flight follows from its result; most of these transactions
+  // fail, because the version of the job's row changed.
   for (auto& [task, attempt] : job.attempts) stop(job, attempt, 0);
   erase_if_finished(job.id);
 }
@@ -254,7 +261,7 @@
 void TaskLifecycle::erase_if_finished(Index id) {
   Job* job = jobs_.find(id);
   if (!job || !job->is_finished() || job->in_flight_transactions > 0) return;
-  // A cancelled job's ended attempts need no transaction: its row already says what counts.
+  // The ends of a cancelled job's attempts need not be written, because its row is final already.
   for (auto it = job->attempts.begin(); it != job->attempts.end();) {
     const uint32_t task = it->first;
     const AttemptState state = it->second.state;
@@ -262,8 +269,8 @@
     if (state == AttemptState::ended || state == AttemptState::proposed) release(*job, task);
   }
   if (!job->attempts.empty()) return;
-  // Its chunks leave their pages with the next write of these; until then a new leader sees by the
-  // job's row that they mean nothing.
+  // The next write of each page drops the job's chunks. Until then a new leader ignores them
+  // because of the job's row.
   pages_.remove_job(*job);
   jobs_.erase(id);
 }
--- a/src/scheduler/task_lifecycle.h
+++ b/src/scheduler/task_lifecycle.h
@@ -1,10 +1,11 @@
 #pragma once
-// The life of a task's attempt, from its proposal until it is proven off its machine and forgotten.
-// The only place that adds or removes attempts, so that a job's attempts, its machines' tasks and
-// its team's use always agree, and every change of them reaches the ledger.
+// The lifecycle of a task's attempt, from its proposal until it is proven to have left its machine
+// and is removed. Only this class adds and removes attempts, which keeps a job's attempts, its
+// machines' tasks and its team's usage consistent and writes every change to the ledger.
 //
-// An attempt: proposed -> placed (durable) -> fetching, gang_waiting, running, checkpointing (as
-// the worker says) -> ended (off its machine) -> released (its end is durable).
+// States of an attempt: proposed -> placed (its start is durable) -> fetching, gang_waiting,
+// running, checkpointing (as the worker reports) -> ended (it left its machine) -> released (its
+// end is durable).
 
 #include <cstdint>
 
@@ -18,8 +19,9 @@
 
 namespace rookdyke {
 
-// More than a task needs to save, so that a save begun in time is not cut short by rounding.
-inline constexpr double kGraceMargin = 1;
+// Seconds added to a job's checkpoint duration when a task is stopped, so that rounding does not
+// cut a checkpoint short.
+inline constexpr double kCheckpointGraceMarginS = 1;
 
 class TaskLifecycle {
  public:
@@ -28,47 +30,51 @@
                 PendingCommands& commands)
       : jobs_(jobs), machines_(machines), usage_(usage), pages_(pages), commands_(commands) {}
 
-  // Reserves a place for a waiting task; its start is ordered once that is durable. `shielded`: not
-  // to be preempted.
-  void propose(Job& job, uint32_t task, uint64_t attempt, Machine& machine, bool shielded,
+  // Allocates resources on the machine for a waiting task. The start is commanded once the proposal
+  // is durable. `preemption_exempt`: the attempt must not be preempted.
+  void propose(Job& job, uint32_t task, uint64_t attempt, Machine& machine, bool preemption_exempt,
                double now);
-  // An attempt that the ledger has: it may run, or may yet be started by a predecessor's command.
+  // Restores an attempt from the ledger. It may be running, or a command of a predecessor may still
+  // start it.
   void restore(Job& job, const ledger::LiveAttempt& live, double now);
-  // Whether what was proposed still makes sense: its machine takes work in the same epoch.
-  bool proposal_stands(const Attempt& attempt) const;
-  // Takes back proposals that were never written; `all`, or those that stand no more. A gang whose
-  // start is not durable in any part goes back as a whole.
+  // Whether the attempt's machine still accepts tasks and is in the epoch of the proposal.
+  bool is_proposal_valid(const Attempt& attempt) const;
+  // Withdraws proposals that were not written: all of them if `all` is set, otherwise those that
+  // are no longer valid. If one proposal of a gang is invalid and no start of the gang is durable,
+  // all proposals of the gang are withdrawn.
   void withdraw_proposals(Job& job, bool all);
-  // The proposal is durable: its start may be ordered.
+  // Marks a proposal as durable, so that its start may be commanded.
   void mark_placed(Job& job, Attempt& attempt, double now);
 
-  // The attempt is to leave its machine, with so many seconds to save its progress.
+  // Requests that the attempt stop, with `grace_s` seconds for a checkpoint.
   void stop(Job& job, Attempt& attempt, double grace_s);
-  // The same for all attempts of its gang, which can only save together.
+  // Stops the attempt and all others of its gang, because a gang can only checkpoint as a whole.
   void stop_with_gang(Job& job, Attempt& attempt, double grace_s);
 
-  // It is proven off its machine. Does nothing for a proposal, which its transaction settles.
-  // `reason` is for the log. May erase the job if that is over.
+  // Ends an attempt that is proven to have left its machine. Has no effect on a proposal, whose
+  // outcome its transaction decides. `reason` is logged. May erase the job if it is finished.
   void end(Job& job, uint32_t task, ExitCause cause, double now, const char* reason);
-  // Forgets an attempt whose end is durable, or that was never to be started.
+  // Removes an attempt whose end is durable, whose start was never commanded, or whose job is done.
   void release(Job& job, uint32_t task);
 
-  // The job's user has cancelled it: its tasks are to stop, and nothing of it starts any more.
-  // `version` is of the job's row; `cancelled_at` on our clock. May erase the job.
+  // Cancels the job: stops its attempts and starts no further ones. `version` is the version of the
+  // job's row; `cancelled_at` is on the steady clock. May erase the job.
   void cancel(Job& job, uint64_t version, double cancelled_at);
-  // Erases a job that is over once nothing of it is on a machine or under way.
+  // Erases a finished job once it has no attempts on machines and no transactions in flight.
   void erase_if_finished(Index job);
 
-  // Whether all attempts of a gang that have not ended wait for the others, as far as we know.
-  static bool is_gang_gathering(const Job& job);
+  // Whether the gang has attempts that have not ended and, as far as known, none of them has passed
+  // gang_waiting or is to be stopped.
+  static bool is_gang_starting(const Job& job);
 
-  // False: the state machine has no such step, which is logged; nothing changes.
+  // Returns false, changes nothing and logs an error if the state machine does not allow the
+  // transition.
   bool set_state(Job& job, Attempt& attempt, AttemptState to);
 
  private:
-  void occupy(Job& job, Attempt attempt);
-  void vacate(Job& job, const Attempt& attempt);
-  void after_end(Job& job, const Attempt& attempt, double now);
+  void allocate_resources(Job& job, Attempt attempt);
+  void deallocate_resources(Job& job, const Attempt& attempt);
+  void apply_exit_cause(Job& job, const Attempt& attempt, double now);
   void complete(Job& job, const Attempt& attempt);
   static void back_off_replica(Job& job, const Attempt& attempt, double now);
 
--- a/src/workers/reclaim_notice_handler.cpp
+++ b/src/workers/reclaim_notice_handler.cpp
@@ -27,7 +27,7 @@
 void ReclaimNoticeHandler::stop_task(Job& job, Attempt& attempt, double notice_s) {
   const bool is_running = attempt.state == AttemptState::running;
   if (is_running && job.spec.checkpoint_interval_s > 0) {
-    const double grace_s = job.spec.checkpoint_duration_s + kGraceMargin;
+    const double grace_s = job.spec.checkpoint_duration_s + kCheckpointGraceMarginS;
     if (grace_s < notice_s) lifecycle_.stop_with_gang(job, attempt, grace_s);
     return;
   }
--- a/tests/scheduler/admission_test.cpp
+++ b/tests/scheduler/admission_test.cpp
@@ -30,7 +30,7 @@
     job.tasks = 4;
     job.per_task = {2, 0, 4};
   }
-  bool runs() const { return !never_runs(job, types, teams, {"a", "b"}); }
+  bool runs() const { return !rejection_reason(job, types, teams, {"a", "b"}); }
 
   std::vector<MachineType> types;
   std::vector<TeamQuota> teams;
@@ -87,7 +87,7 @@
   types[1].zones.clear();  // not known: any zone of the deployment
   job.zone = "a";
   EXPECT_TRUE(runs());
-  EXPECT_FALSE(never_runs(job, types, teams, {}));
+  EXPECT_FALSE(rejection_reason(job, types, teams, {}));
 }
 
 TEST_F(Admission, ASpreadGangNeedsTwoZones) {
@@ -119,12 +119,12 @@
   job.tasks = 4;
   job.per_task = {2, 0, 4};
   const std::vector<TeamQuota> teams = {{"team", 0, 7, 0, 0}};
-  EXPECT_TRUE(never_runs(job, {bare_type()}, teams, {"a"}));
+  EXPECT_TRUE(rejection_reason(job, {bare_type()}, teams, {"a"}));
   job.tasks = 3;
-  EXPECT_FALSE(never_runs(job, {bare_type()}, teams, {"a"}));
+  EXPECT_FALSE(rejection_reason(job, {bare_type()}, teams, {"a"}));
   job.shape = JobShape::array;
   job.tasks = 4;
-  EXPECT_FALSE(never_runs(job, {bare_type()}, teams, {"a"}));
+  EXPECT_FALSE(rejection_reason(job, {bare_type()}, teams, {"a"}));
 }
 
 }  // namespace
--- a/tests/scheduler/cancellations_test.cpp
+++ b/tests/scheduler/cancellations_test.cpp
@@ -26,7 +26,7 @@
   settings.cancel_s = 60;
   const auto returned_at = [&](double cancelled_at, double when) {
     Scheduler scheduler(settings, {bare_type()}, 7, kNow);
-    scheduler.set_day_offset(kDayOffset);
+    scheduler.set_time_of_day_offset(kDayOffset);
     scheduler.load(
         ledger_with_a_task_on_m1(ledger::JobStatus::cancelled, kDayOffset + cancelled_at), kNow);
     scheduler.release_cancelled_work(when);
--- a/tests/scheduler/starvation_test.cpp
+++ b/tests/scheduler/starvation_test.cpp
@@ -33,7 +33,7 @@
 size_t starts_in_first_round(uint32_t tasks, double waited) {
   constexpr double kNow = 500;
   Scheduler scheduler(bare_settings(), {bare_type()}, kLeaderToken, kNow);
-  scheduler.set_day_offset(0);
+  scheduler.set_time_of_day_offset(0);
   scheduler.load(ledger_with_array(tasks, kNow - waited), kNow);
   for (int i = 0; i < kMachines; ++i)
     scheduler.on_heartbeat(bare_heartbeat(i, 1, kLeaderToken), kNow);
--- a/tests/simulation/controller_leadership.cpp
+++ b/tests/simulation/controller_leadership.cpp
@@ -134,7 +134,7 @@
   lease_clock_.kept(campaign.began);
   next_renewal_ = 0;
   scheduler_ = std::make_unique<Scheduler>(world_.settings, world_.types, fencing_token_, now);
-  scheduler_->set_day_offset(0);
+  scheduler_->set_time_of_day_offset(0);
   scheduler_->load(ledger_cache_, now);
   world_.on_leader_elected();
 }
