--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -86,11 +86,11 @@
 // A job that exists is answered with its state, whatever the submission says now.
 bool UserApi::answer_from_ledger(const std::string& id, double deadline,
                                  httplib::Response& response) {
-  std::optional<JobAnswer> answer;
+  std::optional<JobProgress> answer;
   bool unreadable = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
-    answer = ledger_cache.answer(id);
-    unreadable = ledger_cache.unreadable(id);
+    answer = ledger_cache.job_progress(id);
+    unreadable = ledger_cache.is_unreadable(id);
   });
   if (unreadable) {
     refuse(response, kUnreadable);
@@ -204,11 +204,11 @@
   const double asked = steady_now();
   if (!wire::valid_job_id(id))
     return reply(response, http_status::kNotFound, wire::refusal(kNoSuchJob));
-  std::optional<JobAnswer> answer;
+  std::optional<JobProgress> answer;
   bool unreadable = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
     const CachedJob* job = ledger_cache.job(id);
-    if (job && job->row.status != JobStatus::open) answer = ledger_cache.answer(id);
+    if (job && job->row.status != JobStatus::open) answer = ledger_cache.job_progress(id);
   });
   if (answer)  // final: no newer answer can exist
     return answer_job(id, *answer, true, asked + kPollTimeoutS, response);
@@ -216,8 +216,8 @@
   if (!ledger_.wait_for_barrier(kPollTimeoutS)) return refuse(response, kLedgerUnavailable);
   bool late = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
-    answer = ledger_cache.answer(id);
-    unreadable = ledger_cache.unreadable(id);
+    answer = ledger_cache.job_progress(id);
+    unreadable = ledger_cache.is_unreadable(id);
     // Invariant 5 again: the process may have been suspended since the barrier.
     late = steady_now() - asked > kPollAnswerMaxAgeS;
   });
@@ -228,7 +228,7 @@
 }
 
 // Every answer about a known job is sent here.
-void UserApi::answer_job(const std::string& id, const JobAnswer& answer, bool with_counts,
+void UserApi::answer_job(const std::string& id, const JobProgress& answer, bool with_counts,
                          double deadline, httplib::Response& response) {
   if (answer.status == JobStatus::cancelled && !ledger_.may_confirm_cancelled(id, deadline, 0))
     return refuse(response, kLeaderNotInformed, Connection::close);
@@ -239,7 +239,7 @@
 
 // A cancellation that is ready to be written, or the answer about a job in a final state.
 struct UserApi::Cancellation {
-  std::optional<JobAnswer> finished;
+  std::optional<JobProgress> finished;
   ledger::Transaction transaction;
   ledger::JobRow row;
   uint64_t leader = 0;  // version of the leader key that the write is conditional on; 0: none
@@ -256,11 +256,11 @@
   bool known = false, unreadable = false;
   Cancellation cancellation;
   ledger_.read([&](const LedgerCache& ledger_cache) {
-    unreadable = ledger_cache.unreadable(id);
+    unreadable = ledger_cache.is_unreadable(id);
     const CachedJob* job = ledger_cache.job(id);
     if (!job) return;
     known = true;
-    if (job->row.status != JobStatus::open) cancellation.finished = ledger_cache.answer(id);
+    if (job->row.status != JobStatus::open) cancellation.finished = ledger_cache.job_progress(id);
     cancellation.row.tasks = job->row.tasks;
     cancellation.row.chunk_size = job->row.chunk_size;
     cancellation.row.spec = job->row.spec;
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -82,8 +82,8 @@
   std::optional<Cancellation> prepare_cancellation(const std::string& id, double deadline,
                                                    httplib::Response& response);
 
-  void answer_job(const std::string& id, const JobAnswer& answer, bool with_counts, double deadline,
-                  httplib::Response& response);
+  void answer_job(const std::string& id, const JobProgress& answer, bool with_counts,
+                  double deadline, httplib::Response& response);
   // Whether a refusal closes the connection, so that the load balancer sends the retry elsewhere.
   enum class Connection { close_if_siblings_are_served, close };
   void refuse(httplib::Response& response, const char* reason,
--- a/src/daemon/controller_state.cpp
+++ b/src/daemon/controller_state.cpp
@@ -224,7 +224,8 @@
 }
 
 bool ControllerState::must_publish_read_to(double now) const {
-  if (role_ != Role::leading || ledger_cache_.last_cancelled() <= ledger_cache_.read_to())
+  if (role_ != Role::leading ||
+      ledger_cache_.last_cancellation_version() <= ledger_cache_.read_to())
     return false;
   if (now - read_to_published_at_ < kPublishIntervalS) return false;
   return write_share_.reachable_siblings(now) < config_.nodes - 1;
--- a/src/ledger/ledger_cache.cpp
+++ b/src/ledger/ledger_cache.cpp
@@ -14,9 +14,9 @@
 }
 }  // namespace
 
-// Removes a page's chunks, except those that another page has taken over since.
+// Removes the chunks of a page, except those that have since moved to another page.
 void LedgerCache::remove_chunks(uint32_t page_number, CachedPage& page) {
-  for (const ChunkReference& reference : page.chunks) {
+  for (const CachedChunkRef& reference : page.chunks) {
     const auto job = jobs_.find(reference.job);
     if (job == jobs_.end()) continue;
     const auto chunk = job->second.chunks.find(reference.key);
@@ -29,8 +29,8 @@
 void LedgerCache::put_page(uint32_t n, const nlohmann::json& value, uint64_t version) {
   CachedPage& page = pages_[n];
   if (version <= page.version) return;
-  // The version is kept of an unreadable page, too: a leader's write that is conditional on a wrong
-  // version fails, the leader steps down, and so would all its successors.
+  // Unreadable pages keep their version too. With a wrong version, a leader's conditional write
+  // would fail and it would step down, as would each of its successors.
   page.version = version;
   auto decoded = ledger::decode_page(value);
   page.readable = decoded.has_value();
@@ -43,7 +43,7 @@
     ChunkKey key{entry.n, std::nullopt};
     if (entry.range) key.range_first = entry.range->first;
     CachedChunk& chunk = jobs_[entry.job].chunks[key];
-    // It was moved to another page, and this one not written since (ledger/rows.h).
+    // The chunk was moved to another page after this page was written (see ledger/rows.h).
     if (chunk.page != n && chunk.version > version) continue;
     chunk = {n, version, std::move(entry.chunk), entry.range};
     page.chunks.push_back({entry.job, key});
@@ -53,14 +53,14 @@
 void LedgerCache::put_page_row(const std::string& key, const nlohmann::json& value,
                                uint64_t version) {
   const std::string_view number =
-      std::string_view(key).substr(std::string_view(ledger::kTaskPrefix).size());
+      std::string_view(key).substr(std::string_view(ledger::kPagePrefix).size());
   uint32_t n = 0;
   const char* end = number.data() + number.size();
   const auto [parsed_to, error] = std::from_chars(number.data(), end, n);
-  if (error == std::errc() && parsed_to == end && n < ledger::kMostPages)
+  if (error == std::errc() && parsed_to == end && n < ledger::kMaxPages)
     put_page(n, value, version);
   else
-    spdlog::error("ledger: {} is no page", key);
+    spdlog::error("ledger: key {} does not name a page", key);
 }
 
 void LedgerCache::put_job(const std::string& id, const nlohmann::json& value, uint64_t version) {
@@ -75,7 +75,7 @@
   job.version = version;
   job.row = std::move(*row);
   if (job.row.status == ledger::JobStatus::cancelled)
-    last_cancelled_ = std::max(last_cancelled_, version);
+    last_cancellation_version_ = std::max(last_cancellation_version_, version);
 }
 
 void LedgerCache::put_leader(const nlohmann::json& value, uint64_t version) {
@@ -96,8 +96,8 @@
 
 void LedgerCache::put_fleet_row(const std::string& key, const nlohmann::json& value,
                                 uint64_t version) {
-  if (!ledger::fleet_row(key)) {
-    spdlog::error("ledger: {} is no row of the rented list", key);
+  if (!ledger::fleet_row_number(key)) {
+    spdlog::error("ledger: key {} does not name a row of the rented list", key);
     return;
   }
   CachedFleetRow& row = fleet_[key];
@@ -105,10 +105,10 @@
 }
 
 void LedgerCache::put(const std::string& key, const nlohmann::json& value, uint64_t version) {
-  if (reloading_) seen_.insert(key);
+  if (reloading_) reloaded_keys_.insert(key);
   if (starts_with(key, ledger::kJobPrefix)) {
     put_job(key.substr(std::string_view(ledger::kJobPrefix).size()), value, version);
-  } else if (starts_with(key, ledger::kTaskPrefix)) {
+  } else if (starts_with(key, ledger::kPagePrefix)) {
     put_page_row(key, value, version);
   } else if (key == ledger::kLeaderKey) {
     put_leader(value, version);
@@ -130,20 +130,20 @@
     auto it = fleet_.find(key);
     if (it != fleet_.end() && it->second.version < version) fleet_.erase(it);
   }
-  // Job rows are never deleted, since final states must be kept; nor are pages.
+  // Rows of jobs and pages are never deleted: final states of jobs must be kept.
 }
 
 void LedgerCache::begin_reload() {
   reloading_ = true;
-  seen_.clear();
+  reloaded_keys_.clear();
 }
 
 void LedgerCache::end_reload() {
   reloading_ = false;
-  if (!seen_.count(ledger::kLeaderKey)) leader_.clear();
+  if (!reloaded_keys_.count(ledger::kLeaderKey)) leader_.clear();
   for (auto f = fleet_.begin(); f != fleet_.end();)
-    f = seen_.count(f->first) ? std::next(f) : fleet_.erase(f);
-  seen_.clear();
+    f = reloaded_keys_.count(f->first) ? std::next(f) : fleet_.erase(f);
+  reloaded_keys_.clear();
 }
 
 const CachedJob* LedgerCache::job(const std::string& id) const {
@@ -151,15 +151,15 @@
   return it == jobs_.end() || it->second.version == 0 ? nullptr : &it->second;
 }
 
-bool LedgerCache::unreadable(const std::string& id) const {
+bool LedgerCache::is_unreadable(const std::string& id) const {
   auto it = jobs_.find(id);
   return it != jobs_.end() && !it->second.readable;
 }
 
-std::optional<JobAnswer> LedgerCache::answer(const std::string& id) const {
+std::optional<JobProgress> LedgerCache::job_progress(const std::string& id) const {
   const CachedJob* j = job(id);
   if (!j) return std::nullopt;
-  JobAnswer out;
+  JobProgress out;
   out.status = j->row.status;
   if (out.status == ledger::JobStatus::done) {
     out.done = j->row.tasks;
@@ -169,7 +169,8 @@
     out.done += c.chunk.done.count();
     if (out.status == ledger::JobStatus::open) out.running += c.chunk.live.size();
   }
-  out.done = std::min(out.done, j->row.tasks);  // a page may hold tasks that the job lacks
+  // A page may hold tasks that the job does not have.
+  out.done = std::min(out.done, j->row.tasks);
   out.running = std::min(out.running, j->row.tasks);
   return out;
 }
--- a/src/ledger/ledger_cache.h
+++ b/src/ledger/ledger_cache.h
@@ -1,8 +1,8 @@
 #pragma once
-// A replica's cache of the ledger's rows, kept current by the watch. Owned by the controller, which
-// guards it by its mutex. Polls are answered from it, but only after a read barrier (invariant 5);
-// a new leader's scheduler is built from it. Rows that cannot be read are logged, and remembered as
-// unreadable where that matters.
+// A controller's cache of the ledger's rows, kept up to date by a watch. Guarded by the
+// controller's mutex. Serves users' status requests, but only after a read barrier (invariant 5),
+// and initializes the scheduler of a new leader. Rows that cannot be decoded are logged; jobs and
+// pages are also marked unreadable.
 
 #include <cstdint>
 #include <map>
@@ -18,7 +18,7 @@
 
 namespace rookdyke {
 
-// Identifies the tasks of a job that an entry of a page holds: a chunk, or a part of one.
+// Identifies a chunk of a job, or a part of one, as held by an entry of a page.
 struct ChunkKey {
   uint32_t n = 0;
   std::optional<uint32_t> range_first;  // empty: the whole chunk
@@ -30,13 +30,13 @@
 
 struct CachedChunk {
   uint32_t page = 0;
-  uint64_t version = 0;  // of the page when it was written
+  uint64_t version = 0;  // of the page
   ledger::Chunk chunk;
   std::optional<ledger::TaskRange> range;
 };
 
-// A chunk of one job among those of a page.
-struct ChunkReference {
+// Identifies a chunk in a page's list of chunks.
+struct CachedChunkRef {
   std::string job;
   ChunkKey key;
 };
@@ -44,7 +44,7 @@
 struct CachedPage {
   uint64_t version = 0;
   bool readable = true;
-  std::vector<ChunkReference> chunks;
+  std::vector<CachedChunkRef> chunks;
 };
 
 // A row of the rented list, not yet decoded.
@@ -54,14 +54,14 @@
 };
 
 struct CachedJob {
-  uint64_t version = 0;  // 0: only its chunks are known
+  uint64_t version = 0;  // 0: the job's row is not known, only its chunks
   ledger::JobRow row;
   std::map<ChunkKey, CachedChunk> chunks;
   bool readable = true;
 };
 
-// What users are told about a job.
-struct JobAnswer {
+// A job's status and task counts, as reported to users.
+struct JobProgress {
   ledger::JobStatus status = ledger::JobStatus::open;
   uint32_t done = 0;     // tasks
   uint32_t running = 0;  // tasks
@@ -70,29 +70,30 @@
 // Not thread-safe.
 class LedgerCache {
  public:
-  // Applies a row as read or watched, or its deletion. An older version than the cached one changes
-  // nothing.
+  // Applies a row, or its deletion, from a read or a watch. Ignored unless it is newer than the
+  // cached version.
   void put(const std::string& key, const nlohmann::json& value, uint64_t version);
   void erase(const std::string& key, uint64_t version);
 
-  // A full read of the ledger: between these two calls every row is put; end_reload() removes the
-  // rows that were not.
+  // Bracket a full read of the ledger, during which every row is passed to put(). end_reload()
+  // removes the leader and the rented-list rows that were not; job and page rows are never deleted.
   void begin_reload();
   void end_reload();
 
-  // Empty, or null: the job is not known.
-  std::optional<JobAnswer> answer(const std::string& job) const;
+  // Both return empty (null) if the job is not known.
+  std::optional<JobProgress> job_progress(const std::string& job) const;
   const CachedJob* job(const std::string& id) const;
-  // Whether the job has a row that cannot be read: neither that it exists nor that it does not may
-  // be answered.
-  bool unreadable(const std::string& id) const;
+  // Whether the job has a row that cannot be decoded. Users must then be told neither that the job
+  // exists nor that it does not.
+  bool is_unreadable(const std::string& id) const;
   const std::unordered_map<std::string, CachedJob>& jobs() const { return jobs_; }
 
-  const std::string& leader() const { return leader_; }  // label, empty: none
+  const std::string& leader() const { return leader_; }  // label; empty: no leader
   uint64_t leader_version() const { return leader_version_; }
-  // The revision up to which a leader has read, as it wrote itself.
+  // The revision up to which a leader has read the ledger, as published in rd/read_to.
   uint64_t read_to() const { return read_to_; }
-  uint64_t last_cancelled() const { return last_cancelled_; }  // highest version of such a row
+  // The highest version of a cancelled job's row.
+  uint64_t last_cancellation_version() const { return last_cancellation_version_; }
   const std::vector<MachineType>& types() const { return types_; }
   uint64_t types_version() const { return types_version_; }
   const std::map<std::string, CachedFleetRow>& fleet() const { return fleet_; }
@@ -112,12 +113,12 @@
   std::string leader_;
   uint64_t leader_version_ = 0;
   uint64_t read_to_ = 0;
-  uint64_t last_cancelled_ = 0;
+  uint64_t last_cancellation_version_ = 0;
   std::vector<MachineType> types_;
   uint64_t types_version_ = 0;
   std::map<std::string, CachedFleetRow> fleet_;  // by key
   bool reloading_ = false;
-  std::unordered_set<std::string> seen_;  // keys of the running reload
+  std::unordered_set<std::string> reloaded_keys_;  // keys put since begin_reload()
 };
 
 }  // namespace rookdyke
--- a/src/ledger/page.h
+++ b/src/ledger/page.h
@@ -1,7 +1,7 @@
 #pragma once
-// A page of the ledger as the leader keeps it: which chunks of jobs it holds, and what of them is
-// still to be written (ledger/rows.h). PageTable owns the pages; ledger_writer/ changes their state
-// as they are written.
+// The leader's in-memory state of a ledger page (see ledger/rows.h for the stored format): the
+// chunks assigned to it and whether they have changes to write. PageTable owns the pages;
+// ledger_writer/ updates their state as they are written.
 
 #include <algorithm>
 #include <cstdint>
@@ -15,15 +15,17 @@
 
 namespace rookdyke {
 
-// Whose chunks share a page: those that are written in a hurry are not held up by, or do not have
-// to carry, those that are not.
-enum class PageKind : uint8_t { regular, prompt_start, service };
+// Kind of the jobs whose chunks share a page: services, jobs with a start-time objective, all
+// others. Kinds are kept apart so that urgent writes neither wait for other chunks nor carry their
+// bytes.
+enum class PageKind : uint8_t { regular, start_objective, service };
 
-// Who waits for a change to become durable, most impatient first: replicas of services, tasks
-// promised a prompt start, other starts, tasks that have to start again, nobody.
-enum class WriteUrgency : uint8_t { replica, prompt_start, start, restart, none };
+// Urgency of a page write, most urgent first: replicas of a service, starts of jobs with a
+// start-time objective, other starts, tasks that have to be restarted, changes that nothing waits
+// for.
+enum class WriteUrgency : uint8_t { replica, start_objective, start, restart, none };
 
-// A chunk of a job: some consecutive tasks, by the first of them.
+// Identifies a chunk (consecutive tasks of a job) by the job and its first task.
 struct ChunkRef {
   Index job = kNone;
   uint32_t first = 0;
@@ -33,29 +35,30 @@
   }
 };
 
-// A row of the ledger that holds chunks of several jobs; at most one write of it is under way.
+// A ledger row that holds chunks of several jobs. At most one write of it is in flight.
 struct Page {
   uint64_t version = 0;
   bool in_flight = false;
-  size_t reserved = 0;  // bytes set aside for its chunks
-  std::set<ChunkRef> members;
-  std::vector<ledger::PageEntry> unreadable_jobs;  // of jobs whose rows can't be read: kept as is
-  bool readable = true;                            // one that can't be read is never written
-  // Chunks that do not fit it any more were moved to so many pages, and are durable only here until
-  // these are written.
-  uint32_t unwritten_splits = 0;
-  Index split_from = kNone;                         // the page that it took such chunks from
-  std::optional<double> dirty_since;                // empty: nothing to write
-  WriteUrgency write_urgency = WriteUrgency::none;  // for what is to be written
+  size_t reserved_bytes = 0;  // estimated size of its chunks
+  std::set<ChunkRef> chunks;
+  // Entries of jobs whose rows cannot be decoded. They are kept as they are.
+  std::vector<ledger::PageEntry> unreadable_jobs;
+  bool readable = true;  // an unreadable page is never written
+  // Number of pages that took chunks from this page and are not durable yet. Until they are, the
+  // stored version of this page is the only durable copy of those chunks.
+  uint32_t pending_split_pages = 0;
+  Index split_from = kNone;                         // page whose chunks were moved into this one
+  std::optional<double> dirty_since;                // empty: no changes to write
+  WriteUrgency write_urgency = WriteUrgency::none;  // of the unwritten changes
   PageKind kind = PageKind::regular;
-  double retry_at = 0;  // not written before
+  double retry_at = 0;  // earliest time of the next write
 
-  // Something of it is to be written, which that much urgency waits for.
+  // Records unwritten changes of the given urgency.
   void mark_dirty(WriteUrgency urgency, double now) {
     if (!dirty_since) dirty_since = now;
     write_urgency = std::min(write_urgency, urgency);
   }
-  // Nothing of it is to be written.
+  // Records that no changes are left to write.
   void mark_clean() {
     dirty_since.reset();
     write_urgency = WriteUrgency::none;
--- a/src/ledger/page_table.cpp
+++ b/src/ledger/page_table.cpp
@@ -6,20 +6,21 @@
 
 namespace rookdyke {
 
-Page& PageTable::at_least(Index page) {
+Page& PageTable::get_or_add(Index page) {
   if (page >= pages_.size()) pages_.resize(page + 1);
   return pages_[page];
 }
 
-// Prompt starts have pages of their own, so that one write makes many of them durable. New chunks
-// are laid out for the limits that the state service may be lowered to, from the start.
-Index PageTable::page_for(size_t bytes, PageKind kind) {
-  const size_t room = ledger::page_room(settings_.lasting_value_bytes());
+// Jobs with a start-time objective have pages of their own, so that one write makes many of their
+// starts durable. Pages are filled only up to the lowered limits, which the state service may apply
+// at any time.
+Index PageTable::find_or_add_page(size_t bytes, PageKind kind) {
+  const size_t capacity = ledger::page_capacity(settings_.lasting_value_bytes());
   for (Index i = 0; i < pages_.size(); ++i) {
     Page& page = pages_[i];
-    if (!page.readable || page.unwritten_splits > 0) continue;
-    if (page.kind != kind && !page.members.empty()) continue;
-    if (page.reserved + bytes > room) continue;
+    if (!page.readable || page.pending_split_pages > 0) continue;
+    if (page.kind != kind && !page.chunks.empty()) continue;
+    if (page.reserved_bytes + bytes > capacity) continue;
     page.kind = kind;
     return i;
   }
@@ -28,11 +29,11 @@
   return static_cast<Index>(pages_.size() - 1);
 }
 
-Index PageTable::empty_page(PageKind kind) {
+Index PageTable::find_or_add_empty_page(PageKind kind) {
   for (Index i = 0; i < pages_.size(); ++i) {
     Page& page = pages_[i];
-    if (!page.members.empty() || !page.unreadable_jobs.empty() || !page.readable) continue;
-    if (page.in_flight || page.unwritten_splits > 0 || page.split_from != kNone) continue;
+    if (!page.chunks.empty() || !page.unreadable_jobs.empty() || !page.readable) continue;
+    if (page.in_flight || page.pending_split_pages > 0 || page.split_from != kNone) continue;
     page.kind = kind;
     return i;
   }
@@ -43,16 +44,16 @@
 
 void PageTable::add_chunk(Job& job, uint32_t first, Index page) {
   job.chunks.at(first).page = page;
-  pages_[page].reserved += job.chunk_bytes(first);
-  pages_[page].members.insert({job.id, first});
+  pages_[page].reserved_bytes += job.chunk_bytes(first);
+  pages_[page].chunks.insert({job.id, first});
 }
 
 void PageTable::remove_chunk(Job& job, uint32_t first) {
   ChunkPlace& place = job.chunks.at(first);
   if (place.page == kNone) return;
   Page& page = pages_[place.page];
-  page.members.erase({job.id, first});
-  page.reserved -= std::min(page.reserved, job.chunk_bytes(first));
+  page.chunks.erase({job.id, first});
+  page.reserved_bytes -= std::min(page.reserved_bytes, job.chunk_bytes(first));
   place.page = kNone;
 }
 
@@ -62,7 +63,7 @@
     remove_chunk(job, first);
     if (i == kNone) continue;
     Page& page = pages_[i];
-    if (!page.members.empty() || page.split_from != kNone || page.unwritten_splits > 0) continue;
+    if (!page.chunks.empty() || page.split_from != kNone || page.pending_split_pages > 0) continue;
     page.mark_clean();
   }
 }
@@ -70,7 +71,7 @@
 void PageTable::mark_changed(Job& job, uint32_t task, WriteUrgency urgency, double now) {
   const uint32_t first = job.chunk_of(task);
   if (job.chunks.at(first).page == kNone)
-    add_chunk(job, first, page_for(job.chunk_bytes(first), job.page_kind()));
+    add_chunk(job, first, find_or_add_page(job.chunk_bytes(first), job.page_kind()));
   pages_[job.chunks.at(first).page].mark_dirty(urgency, now);
 }
 
--- a/src/ledger/page_table.h
+++ b/src/ledger/page_table.h
@@ -1,6 +1,6 @@
 #pragma once
-// Which page of the ledger holds which chunk of which job, and which pages have something to be
-// written. Owns the pages and the places of chunks (Job::chunks); the ledger writer writes them.
+// Assigns chunks of jobs to pages of the ledger and tracks which pages have unwritten changes. Owns
+// the pages and the assignment (Job::chunks); LedgerWriter writes the pages.
 
 #include <cstddef>
 #include <cstdint>
@@ -22,26 +22,27 @@
   const Page& operator[](Index page) const { return pages_[page]; }
   Index size() const { return static_cast<Index>(pages_.size()); }
   const std::vector<Page>& all() const { return pages_; }
-  // The page of that number; pages up to it are added if there were fewer.
-  Page& at_least(Index page);
+  // Returns the page with the given number, adding pages up to it if necessary.
+  Page& get_or_add(Index page);
 
-  // A page without chunks that nothing is under way for.
-  Index empty_page(PageKind kind);
-  // Puts the chunk that begins with task `first` into a page, or takes it out of its page.
+  // Returns a page without entries that is neither in flight nor involved in a split.
+  Index find_or_add_empty_page(PageKind kind);
+  // Adds the chunk that begins with task `first` to a page, or removes it from its page.
   void add_chunk(Job& job, uint32_t first, Index page);
   void remove_chunk(Job& job, uint32_t first);
-  // Takes out all chunks of a job that is over. Pages need not be written for that alone.
+  // Removes all chunks of a finished job. Pages that become empty are not written for that alone.
   void remove_job(Job& job);
-  // What the ledger has of the task is out of date: its chunk's page is to be written, which that
-  // much urgency waits for. A chunk without a page gets one.
+  // Marks the page of the task's chunk dirty with the given urgency, as the ledger's state of the
+  // task is out of date. A chunk without a page is assigned one.
   void mark_changed(Job& job, uint32_t task, WriteUrgency urgency, double now);
 
-  // The last write of a page that cannot be read: it may hold tasks of any job of before.
+  // Highest version among unreadable pages. Such a page may hold tasks of any job whose row is
+  // older.
   uint64_t unreadable_revision = 0;
 
  private:
-  // A page of that kind with room for so many bytes.
-  Index page_for(size_t bytes, PageKind kind);
+  // Returns a page of the given kind with the given free capacity in bytes.
+  Index find_or_add_page(size_t bytes, PageKind kind);
 
   const Settings& settings_;
   std::vector<Page> pages_;
--- a/src/ledger/rented_list.h
+++ b/src/ledger/rented_list.h
@@ -1,8 +1,8 @@
 #pragma once
 // The list of rented machines that a leader keeps in the ledger for its successor. Owned by the
 // scheduler. A machine's index determines its row, so that a change affects one row, and only
-// changed rows are written. Pure and single-threaded: all times are arguments, in seconds of a
-// steady clock.
+// changed rows are written. Single-threaded and without I/O: all times are arguments, in seconds of
+// a steady clock.
 
 #include <functional>
 #include <map>
@@ -29,21 +29,21 @@
  public:
   // The list's rows in the ledger, by key.
   using Rows = std::map<std::string, CachedFleetRow>;
-  // The machine of that index; empty: there is none, or it does not belong on the list.
+  // Returns the machine with the given index; empty if there is none or it is not to be listed.
   using Lookup = std::function<std::optional<RentedMachine>(Index)>;
 
-  // value_bytes: the most that the state service takes in one value.
+  // `value_bytes` is the state service's limit on the size of a value.
   explicit RentedList(size_t value_bytes);
 
   // Reads the list that a predecessor wrote. All its rows count as changed. Entries that cannot be
   // read are skipped; new zones get an index.
   std::vector<RentedMachine> load(const Rows& rows, const NameTable& types, NameTable& zones);
 
-  // What the list holds of this machine has changed.
+  // Marks the machine's row as changed.
   void mark_changed(Index machine);
 
-  // Whether a write may begin: there are changes, no write is in flight, and the last one is long
-  // enough ago.
+  // Whether a write may begin: there are changes, no write is in flight, and the minimum interval
+  // since the last one has passed.
   bool can_write(double now) const;
   // Whether the last write began so long ago that the next one has priority over all other writes.
   bool overdue(double now) const;
@@ -51,8 +51,7 @@
   // transaction_rows changes. Requires can_write(now).
   void write(double now, size_t transaction_rows, const Lookup& machine, const NameTable& types,
              const NameTable& zones, ledger::Transaction& transaction);
-  // The write in flight has ended with this result. Rows that were not written still count as
-  // changed.
+  // Handles the result of the write in flight. Rows that were not written still count as changed.
   void on_result(const ledger::Transaction& transaction, const ledger::Result& result);
 
  private:
@@ -60,10 +59,10 @@
                             const NameTable& zones) const;
 
   uint32_t machines_per_row_;
-  std::set<uint32_t> changed_;     // rows
-  std::set<uint32_t> unreadable_;  // rows, never written
-  std::map<std::string, uint64_t> revisions_;
-  std::optional<double> written_at_;  // when the last write began
+  std::set<uint32_t> changed_rows_;
+  std::set<uint32_t> unreadable_rows_;  // never written
+  std::map<std::string, uint64_t> row_revisions_;
+  std::optional<double> write_began_at_;  // of the last write
   bool in_flight_ = false;
 };
 
--- a/src/ledger/rows.cpp
+++ b/src/ledger/rows.cpp
@@ -8,9 +8,9 @@
 namespace rookdyke::ledger {
 
 std::string job_key(const std::string& job) { return kJobPrefix + job; }
-std::string page_key(uint32_t n) { return kTaskPrefix + std::to_string(n); }
+std::string page_key(uint32_t n) { return kPagePrefix + std::to_string(n); }
 std::string fleet_key(uint32_t n) { return kFleetPrefix + std::to_string(n); }
-std::optional<uint32_t> fleet_row(const std::string& key) {
+std::optional<uint32_t> fleet_row_number(const std::string& key) {
   uint32_t n = 0;
   const char* end = key.data() + key.size();
   const auto [p, ec] = std::from_chars(key.data() + key.rfind('/') + 1, end, n);
@@ -65,9 +65,9 @@
 }
 
 namespace {
-constexpr size_t kFrame = 128;        // of a page: its mark and the brackets
-constexpr size_t kEntryFrame = 48;    // of a chunk in it
-constexpr size_t kUsualAttempt = 32;  // bytes of a live attempt; a done task takes at most 14
+constexpr size_t kPageOverheadBytes = 128;   // of a page: transaction id and brackets
+constexpr size_t kEntryOverheadBytes = 48;   // of a page's entry
+constexpr size_t kTypicalAttemptBytes = 32;  // of a live attempt; a done task takes at most 14
 
 size_t digits(uint64_t n) {
   size_t d = 1;
@@ -76,68 +76,71 @@
 }
 }  // namespace
 
-size_t page_room(size_t value_bytes) {
-  return value_bytes > 2 * kFrame ? value_bytes - kFrame : kFrame;
+size_t page_capacity(size_t value_bytes) {
+  return value_bytes > 2 * kPageOverheadBytes ? value_bytes - kPageOverheadBytes
+                                              : kPageOverheadBytes;
 }
-size_t chunk_reserve(const std::string& job, uint32_t tasks) {
-  return kEntryFrame + job.size() + kUsualAttempt * tasks;
+size_t estimated_chunk_size(const std::string& job, uint32_t tasks) {
+  return kEntryOverheadBytes + job.size() + kTypicalAttemptBytes * tasks;
 }
 uint32_t tasks_per_chunk(size_t value_bytes) {
-  const size_t room = page_room(value_bytes) - kEntryFrame - 24;
-  return static_cast<uint32_t>(std::clamp<size_t>(room / kUsualAttempt, 1, 512));
+  const size_t capacity = page_capacity(value_bytes) - kEntryOverheadBytes - 24;  // 24: job id
+  return static_cast<uint32_t>(std::clamp<size_t>(capacity / kTypicalAttemptBytes, 1, 512));
 }
 size_t encoded_size(const LiveAttempt& l) {
   return 8 + digits(l.task) + digits(l.attempt) + l.machine.size() + digits(l.epoch);
 }
 size_t encoded_size(const std::string& job, const TaskSet& done) {
-  size_t n = kEntryFrame + job.size();
+  size_t n = kEntryOverheadBytes + job.size();
   for (const auto& [a, b] : done.ranges()) n += digits(a) + digits(b) + 2;
   return n;
 }
 
 namespace {
 
-constexpr double kMostAmount = 1e12;
-constexpr size_t kPartEntrySize = 7;  // fields of a page's entry that is a part of a chunk
+constexpr double kMaxAmount = 1e12;
+constexpr size_t kPartialEntryFields = 7;  // fields of an entry that holds a part of a chunk
 
-// The library turns -1 into a huge count, true into 1 and 2.5 into 2, and takes NaN for an amount;
-// these take nothing but what encode() writes.
-struct Unreadable : std::exception {};
+// Thrown by the parsers below, which accept only what encode() writes. The JSON library's own
+// conversions turn -1 into a huge count, true into 1 and 2.5 into 2, and accept NaN.
+struct InvalidField : std::exception {};
 
-uint64_t whole(const json& v, uint64_t least, uint64_t most) {
-  if (!v.is_number_integer()) throw Unreadable();
-  if (!v.is_number_unsigned() && v.get<int64_t>() < 0) throw Unreadable();
+uint64_t parse_integer(const json& v, uint64_t min, uint64_t max) {
+  if (!v.is_number_integer()) throw InvalidField();
+  if (!v.is_number_unsigned() && v.get<int64_t>() < 0) throw InvalidField();
   const auto n = v.get<uint64_t>();
-  if (n < least || n > most) throw Unreadable();
+  if (n < min || n > max) throw InvalidField();
   return n;
 }
-uint32_t task_number(const json& v) { return static_cast<uint32_t>(whole(v, 0, kMostTasks - 1)); }
+uint32_t parse_task_number(const json& v) {
+  return static_cast<uint32_t>(parse_integer(v, 0, kMaxTasks - 1));
+}
 
-double amount(const json& v) {
-  if (!v.is_number()) throw Unreadable();
+double parse_amount(const json& v) {
+  if (!v.is_number()) throw InvalidField();
   const double d = v.get<double>();
-  if (!std::isfinite(d) || d < 0 || d > kMostAmount) throw Unreadable();
+  if (!std::isfinite(d) || d < 0 || d > kMaxAmount) throw InvalidField();
   return d;
 }
 
-std::string name(const json& v) {
+std::string parse_name(const json& v) {
   auto s = v.get<std::string>();
-  if (s.empty()) throw Unreadable();
+  if (s.empty()) throw InvalidField();
   return s;
 }
 
-const json& list(const json& v) {
-  if (!v.is_array()) throw Unreadable();
+const json& parse_array(const json& v) {
+  if (!v.is_array()) throw InvalidField();
   return v;
 }
 
-// Closed ranges in order, none touching another.
-TaskSet task_set(const json& v) {
-  if (list(v).size() % 2 != 0) throw Unreadable();
+// Requires closed, disjoint ranges in ascending order.
+TaskSet parse_task_set(const json& v) {
+  if (parse_array(v).size() % 2 != 0) throw InvalidField();
   uint64_t next = 0;
   for (size_t i = 0; i < v.size(); i += 2) {
-    const uint32_t a = task_number(v[i]), b = task_number(v[i + 1]);
-    if (a < next || b < a) throw Unreadable();
+    const uint32_t a = parse_task_number(v[i]), b = parse_task_number(v[i + 1]);
+    if (a < next || b < a) throw InvalidField();
     next = uint64_t{b} + 1;
   }
   return TaskSet::decode(v);
@@ -162,7 +165,7 @@
               {"checkpoint", s.checkpoint_interval_s},
               {"save", s.checkpoint_duration_s},
               {"due", s.deadline_s}};
-  // Version 0.1 knows no services and reads past this field (docs/operations.md, "Upgrading").
+  // Version 0.1 does not support services and ignores this field (docs/operations.md, "Upgrading").
   if (s.shape == JobShape::service) out["service"] = true;
   return out;
 }
@@ -177,17 +180,17 @@
   v.at("zone").get_to(s.zone);
   s.shape = v.at("gang").get<bool>() ? JobShape::gang : JobShape::array;
   if (v.value("service", false)) s.shape = JobShape::service;
-  s.priority = static_cast<Priority>(whole(v.at("rank"), 0, 3));
-  s.per_task = {amount(v.at("cpus")), amount(v.at("gpus")), amount(v.at("mem"))};
-  s.image_gb = amount(v.at("image_gb"));
+  s.priority = static_cast<Priority>(parse_integer(v.at("rank"), 0, 3));
+  s.per_task = {parse_amount(v.at("cpus")), parse_amount(v.at("gpus")), parse_amount(v.at("mem"))};
+  s.image_gb = parse_amount(v.at("image_gb"));
   v.at("types").get_to(s.types);
   v.at("one_zone").get_to(s.single_zone);
   v.at("scatter").get_to(s.spread_zones);
   v.at("spot").get_to(s.spot);
-  s.expected_runtime_s = amount(v.at("estimate"));
-  s.checkpoint_interval_s = amount(v.at("checkpoint"));
-  s.checkpoint_duration_s = amount(v.at("save"));
-  s.deadline_s = amount(v.at("due"));
+  s.expected_runtime_s = parse_amount(v.at("estimate"));
+  s.checkpoint_interval_s = parse_amount(v.at("checkpoint"));
+  s.checkpoint_duration_s = parse_amount(v.at("save"));
+  s.deadline_s = parse_amount(v.at("due"));
   return s;
 }
 
@@ -213,7 +216,7 @@
 }
 
 void shorten_cancelled(JobRow& row, size_t value_bytes) {
-  if (!row.spec || value_size(encode(row)) + kFrame <= value_bytes) return;
+  if (!row.spec || value_size(encode(row)) + kPageOverheadBytes <= value_bytes) return;
   row.spec->job_class.clear();
   row.spec->image.clear();
   row.spec->types.clear();
@@ -222,11 +225,11 @@
 std::optional<JobRow> decode_job(const std::string& id, const json& v) {
   try {
     JobRow row;
-    row.status = static_cast<JobStatus>(whole(v.at("standing"), 0, 2));
-    row.tasks = static_cast<uint32_t>(whole(v.at("tasks"), 1, kMostTasks));
+    row.status = static_cast<JobStatus>(parse_integer(v.at("standing"), 0, 2));
+    row.tasks = static_cast<uint32_t>(parse_integer(v.at("tasks"), 1, kMaxTasks));
     if (v.contains("per"))
-      row.chunk_size = static_cast<uint32_t>(whole(v.at("per"), 0, kMostTasks));
-    if (v.contains("at")) row.timestamp_s = amount(v.at("at"));
+      row.chunk_size = static_cast<uint32_t>(parse_integer(v.at("per"), 0, kMaxTasks));
+    if (v.contains("at")) row.timestamp_s = parse_amount(v.at("at"));
     row.transaction_id = v.value("w", "");
     if (v.contains("spec")) row.spec = decode_spec(id, row.tasks, v.at("spec"));
     if (row.status == JobStatus::open && (!row.spec || row.chunk_size == 0)) return std::nullopt;
@@ -256,19 +259,20 @@
 std::optional<Page> decode_page(const json& v) {
   try {
     Page p;
-    for (const json& e : list(v.at("e"))) {
+    for (const json& e : parse_array(v.at("e"))) {
       PageEntry out;
-      out.job = name(e.at(0));
-      out.n = task_number(e.at(1));
-      out.chunk.highest_attempt = whole(e.at(2), 0, kMostAttempts);
-      out.chunk.done = task_set(e.at(3));
-      out.chunk.live.reserve(list(e.at(4)).size());
+      out.job = parse_name(e.at(0));
+      out.n = parse_task_number(e.at(1));
+      out.chunk.highest_attempt = parse_integer(e.at(2), 0, kMaxAttemptNumber);
+      out.chunk.done = parse_task_set(e.at(3));
+      out.chunk.live.reserve(parse_array(e.at(4)).size());
       for (const json& l : e.at(4))
-        out.chunk.live.push_back({task_number(l.at(0)), whole(l.at(1), 0, kMostAttempts),
-                                  name(l.at(2)), whole(l.at(3), 0, UINT64_MAX)});
-      if (e.size() >= kPartEntrySize)
-        out.range =
-            TaskRange{task_number(e.at(5)), static_cast<uint32_t>(whole(e.at(6), 1, kMostTasks))};
+        out.chunk.live.push_back({parse_task_number(l.at(0)),
+                                  parse_integer(l.at(1), 0, kMaxAttemptNumber), parse_name(l.at(2)),
+                                  parse_integer(l.at(3), 0, UINT64_MAX)});
+      if (e.size() >= kPartialEntryFields)
+        out.range = TaskRange{parse_task_number(e.at(5)),
+                              static_cast<uint32_t>(parse_integer(e.at(6), 1, kMaxTasks))};
       p.entries.push_back(std::move(out));
     }
     p.transaction_id = v.value("w", "");
@@ -297,16 +301,16 @@
 std::vector<MachineType> decode_types(const json& v) {
   std::vector<MachineType> out;
   try {
-    for (const json& t : list(v.at("types"))) {
+    for (const json& t : parse_array(v.at("types"))) {
       MachineType i;
-      i.name = name(t.at("name"));
-      i.size = {amount(t.at("cpus")), amount(t.at("gpus")), amount(t.at("mem"))};
-      i.cache_gb = amount(t.at("cache_gb"));
-      i.fetch_gb_per_s = amount(t.at("fetch"));
-      i.price = amount(t.at("price"));
-      i.spot_price = amount(t.at("spot_price"));
-      i.boot_s = amount(t.at("boot_s"));
-      if (i.boot_s <= 0 || has_type(out, i.name)) throw Unreadable();
+      i.name = parse_name(t.at("name"));
+      i.size = {parse_amount(t.at("cpus")), parse_amount(t.at("gpus")), parse_amount(t.at("mem"))};
+      i.cache_gb = parse_amount(t.at("cache_gb"));
+      i.fetch_gb_per_s = parse_amount(t.at("fetch"));
+      i.price = parse_amount(t.at("price"));
+      i.spot_price = parse_amount(t.at("spot_price"));
+      i.boot_s = parse_amount(t.at("boot_s"));
+      if (i.boot_s <= 0 || has_type(out, i.name)) throw InvalidField();
       t.at("zones").get_to(i.zones);
       out.push_back(std::move(i));
     }
--- a/src/ledger/rows.h
+++ b/src/ledger/rows.h
@@ -1,19 +1,21 @@
 #pragma once
-// What must be durable, and in which rows of the state service it lies.
+// The ledger's rows in the state service: keys, types and JSON encoding.
 //
-//   rd/leader        who leads; hangs on the leader's lease, its version is the token
-//   rd/read_to       the revision up to which the leader has read, where siblings cannot be told
-//   rd/types         machine sizes, so that every node decides 422 alike
-//   rd/j/<job>       a job: its description until it is done, its final state for ever
-//   rd/t/<n>         a page: chunks of several jobs' tasks. A chunk is the tasks [k*per, (k+1)*per)
-//                    of a job: which are done, which attempts may be on which machine, the
-//                    highest attempt number ever used. Of two pages that hold the same tasks, the
-//                    one that was written last counts: a chunk moves by being written elsewhere.
-//   rd/f/<n>         names of rented machines (the design's rented list)
+//   rd/leader        label of the leader, attached to its lease; the version is the fencing token
+//   rd/read_to       revision up to which the leader has read the ledger, for peer controllers that
+//                    it cannot reach directly
+//   rd/types         machine types, so that all controllers reject the same jobs with 422
+//   rd/j/<job>       a job: its description until it is done; its final state is kept for ever
+//   rd/t/<n>         a page: chunks of tasks of several jobs. A chunk covers the tasks
+//                    [k*per, (k+1)*per) of a job: the tasks that are done, the attempts that may be
+//                    on a machine, and the highest attempt number used. If two pages hold the same
+//                    tasks, the one written last is valid: a chunk is moved by writing it to
+//                    another page.
+//   rd/f/<n>         names of rented machines (the rented list)
 //
-// A job's tasks are chunked because jobs go to 100,000 tasks and a value has a size limit; chunks
-// share pages because the state service counts changed rows, not bytes: one row a job's start and
-// one more its end would be the whole rate of a large deployment.
+// Tasks are grouped into chunks because a job has up to 100,000 tasks and values are limited in
+// size. Chunks share pages because the state service limits changed rows, not bytes: a row for each
+// job's start and another for its end would use up the write rate of a large deployment.
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -32,22 +34,22 @@
 inline constexpr const char* kTypesKey = "rd/types";
 inline constexpr const char* kReadToKey = "rd/read_to";
 inline constexpr const char* kJobPrefix = "rd/j/";
-inline constexpr const char* kTaskPrefix = "rd/t/";
+inline constexpr const char* kPagePrefix = "rd/t/";
 inline constexpr const char* kFleetPrefix = "rd/f/";
 
 std::string job_key(const std::string& job);
 std::string page_key(uint32_t n);
 std::string fleet_key(uint32_t n);
-// The n of such a key; empty: it has none.
-std::optional<uint32_t> fleet_row(const std::string& key);
+// The number in a key of the form rd/f/<n>; empty if the key has none.
+std::optional<uint32_t> fleet_row_number(const std::string& key);
 
-// No job has more tasks, no ledger of ours more pages, and no attempt a higher number: what a row
-// says beyond is not believed, for it would take all memory or time to follow.
-inline constexpr uint32_t kMostTasks = 100'000;
-inline constexpr uint32_t kMostPages = 1 << 17;
-inline constexpr uint64_t kMostAttempts = uint64_t{1} << 53;
+// Upper bounds on the tasks of a job, the pages of a ledger and attempt numbers. Rows with larger
+// values are treated as unreadable, since processing them could exhaust memory or time.
+inline constexpr uint32_t kMaxTasks = 100'000;
+inline constexpr uint32_t kMaxPages = 1 << 17;
+inline constexpr uint64_t kMaxAttemptNumber = uint64_t{1} << 53;
 
-// Tasks of a chunk as sorted disjoint closed ranges.
+// A set of task numbers, stored as sorted disjoint closed ranges.
 class TaskSet {
  public:
   void add(uint32_t task);
@@ -75,23 +77,24 @@
   uint64_t highest_attempt = 0;  // highest attempt number used in this chunk
 };
 
-// Some of a chunk's tasks: [first, first + count).
+// The tasks [first, first + count), a part of a chunk.
 struct TaskRange {
   uint32_t first = 0, count = 0;
 };
 
+// A chunk, or a part of one, as stored in a page.
 struct PageEntry {
   std::string job;
   uint32_t n = 0;
   Chunk chunk;
-  // Only this part of the chunk lies here; empty: all of it. Written only once the state service
-  // has lowered its limits, which it does after all replicas know of parts: version 0.1 would take
-  // a part for the whole.
+  // The part of the chunk that this entry holds; empty: the whole chunk. Parts are written only
+  // after the state service has lowered its limits, which happens once all controllers support
+  // them: version 0.1 would read a part as the whole chunk.
   std::optional<TaskRange> range;
 };
 struct Page {
   std::vector<PageEntry> entries;
-  std::string transaction_id;  // names the transaction that wrote it
+  std::string transaction_id;  // of the transaction that wrote the page
 };
 
 enum class JobStatus : uint8_t { open, done, cancelled };
@@ -100,42 +103,44 @@
   JobStatus status = JobStatus::open;
   uint32_t tasks = 0;
   uint32_t chunk_size = 0;  // tasks per chunk
-  double timestamp_s = 0;   // time of day: accepted; of a cancelled job, cancelled
-  // Kept by a cancelled job: its tasks count for limits and zones until they are proven gone.
+  double timestamp_s = 0;   // time of day of the submission; of a cancelled job, the cancellation
+  // Kept for cancelled jobs too: their tasks count towards quotas and zone constraints until they
+  // are known to have ended.
   std::optional<JobSpec> spec;
   std::string transaction_id;
 };
 
-// How many tasks a chunk takes so that it fits a page of that many bytes, and what is set aside of
-// a page for a chunk of so many tasks. Both are estimates; encoded_size() is what decides.
+// Estimates of the number of tasks whose chunk fits a page of the given size, and of the bytes that
+// a chunk of the given number of tasks needs. encoded_size() gives the bound that is enforced.
 uint32_t tasks_per_chunk(size_t value_bytes);
-size_t chunk_reserve(const std::string& job, uint32_t tasks);
-// What a page may hold besides its frame.
-size_t page_room(size_t value_bytes);
-// At least the bytes that these take in a page.
+size_t estimated_chunk_size(const std::string& job, uint32_t tasks);
+// The bytes available for entries in a page whose value is limited to `value_bytes`.
+size_t page_capacity(size_t value_bytes);
+// Upper bounds of the size in a page of an attempt, and of an entry without its attempts.
 size_t encoded_size(const LiveAttempt& live);
 size_t encoded_size(const std::string& job, const TaskSet& done);
 
 json encode(const JobRow& row);
 json encode(const Page& page);
-// Whether a row's value was written by that transaction.
+// Whether a row's value was written by the given transaction.
 bool is_written_by(const json& value, const std::string& transaction_id);
-// The bytes that a value takes, as the state service counts them.
+// The size of a value in bytes, as the state service counts it.
 size_t value_size(const json& value);
-// Leaves out of a cancelled job's description what limits and zones do not need, if the row would
-// be larger than that: rows that were written under larger limits can still be cancelled.
+// If the row of a cancelled job would exceed `value_bytes`, clears the parts of its description
+// that quotas and zone constraints do not need. Jobs whose rows were written under larger limits
+// can thus still be cancelled.
 void shorten_cancelled(JobRow& row, size_t value_bytes);
-// Empty: it cannot be read, and nothing of it is believed.
+// Empty if the value is malformed; a row is never read in part.
 std::optional<JobRow> decode_job(const std::string& id, const json& v);
 std::optional<Page> decode_page(const json& v);
 
 json encode_types(const std::vector<MachineType>& types);
 std::vector<MachineType> decode_types(const json& v);
 
-// A transaction in the scheduler's terms; the state client puts it into the protocol's.
+// A transaction, independent of the state service's protocol; state/client.h encodes it.
 struct Condition {
   std::string key;
-  uint64_t version = 0;  // 0: must not exist
+  uint64_t version = 0;  // 0: the key must not exist
 };
 struct Change {
   std::string key;
@@ -146,15 +151,15 @@
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Change> changes;
-  std::string transaction_id;  // also inside the first written value
+  std::string transaction_id;  // also stored in the first written value
 };
 
 enum class Outcome : uint8_t {
-  applied,   // it was executed
-  conflict,  // a condition failed; it never will be executed
-  refused,   // it was not executed
-  rejected,  // as refused, and no repeat will ever be executed: it is too large or malformed
-  unknown    // it may have been executed, or may be later
+  applied,   // committed
+  conflict,  // a condition failed; no copy will be executed
+  refused,   // this copy was not executed (rate limit, service unavailable); it may be resent
+  rejected,  // not executed, and neither will a resent copy be: it is too large or malformed
+  unknown    // indeterminate: it may have been executed or may still be
 };
 struct Result {
   Outcome outcome = Outcome::unknown;
--- a/src/ledger_writer/job_closer.cpp
+++ b/src/ledger_writer/job_closer.cpp
@@ -11,29 +11,30 @@
 
 namespace {
 
-constexpr size_t kMaxJobs = 16;   // in a transaction
-constexpr size_t kLeastRoom = 4;  // at once, whatever is left of the rate of changes
-// For so many seconds completed jobs are gathered while starts are written.
-constexpr double kGatherInterval = 0.5;
+constexpr size_t kMaxJobsPerTransaction = 16;
+constexpr size_t kMinChanges = 4;  // permitted even if the write rate is used up
+// Completed jobs are batched for this interval while starts are written.
+constexpr double kBatchIntervalS = 0.5;
 
 }  // namespace
 
-bool JobCloser::take_turn(double now, bool starts_wait) {
+bool JobCloser::start_batch_if_due(double now, bool starts_pending) {
   if (jobs_.completed().empty()) {
-    waiting_since_.reset();
+    batch_open_since_.reset();
     return false;
   }
-  if (!waiting_since_) waiting_since_ = now;
-  if (starts_wait && now - *waiting_since_ <= kGatherInterval) return false;
-  waiting_since_ = now;
+  if (!batch_open_since_) batch_open_since_ = now;
+  if (starts_pending && now - *batch_open_since_ <= kBatchIntervalS) return false;
+  batch_open_since_ = now;
   return true;
 }
 
-std::vector<Index> JobCloser::next_jobs(double now, size_t room) const {
-  const size_t most = std::min({settings_.lasting_txn_ops(), kMaxJobs, std::max(kLeastRoom, room)});
+std::vector<Index> JobCloser::jobs_to_close(double now, size_t max_changes) const {
+  const size_t max_jobs = std::min(
+      {settings_.lasting_txn_ops(), kMaxJobsPerTransaction, std::max(kMinChanges, max_changes)});
   std::vector<Index> jobs;
   for (const Index index : jobs_.completed()) {
-    if (jobs.size() >= most) break;
+    if (jobs.size() >= max_jobs) break;
     const Job& job = jobs_[index];
     if (job.state != JobState::open || job.is_stale() || job.retry_at > now ||
         job.in_flight_transactions > 0)
@@ -43,7 +44,7 @@
   return jobs;
 }
 
-// Each job's final state is a row of its own, kept for ever.
+// Each job's final state is a row of its own, which is kept for ever.
 LedgerWrite JobCloser::begin_write(const std::vector<Index>& jobs,
                                    ledger::Transaction transaction) {
   for (const Index index : jobs) {
@@ -58,7 +59,7 @@
     transaction.changes.push_back({key, false, ledger::encode(row), 0});
     JobTable::set_state(job, JobState::closing);
   }
-  return {std::move(transaction), jobs, JobClosing{}};
+  return {std::move(transaction), jobs, FinalStateWrite{}};
 }
 
 void JobCloser::on_result(const std::vector<Index>& jobs, const ledger::Result& result,
@@ -68,15 +69,15 @@
     Job* job = jobs_.find(index);
     if (!job) continue;
     if (result.outcome == ledger::Outcome::applied) {
-      finish(*job, result.revision);
+      mark_done(*job, result.revision);
       continue;
     }
-    job->retry_at = now + (is_conflict ? kRetryConflictInterval : kRetryRefusedInterval);
+    job->retry_at = now + (is_conflict ? kConflictRetryIntervalS : kRefusedRetryIntervalS);
     if (job->state == JobState::closing) JobTable::set_state(*job, JobState::open);
   }
 }
 
-void JobCloser::finish(Job& job, uint64_t version) {
+void JobCloser::mark_done(Job& job, uint64_t version) {
   job.version = version;
   if (!JobTable::set_state(job, JobState::done)) return;
   while (!job.attempts.empty()) lifecycle_.release(job, job.attempts.begin()->first);
--- a/src/ledger_writer/job_closer.h
+++ b/src/ledger_writer/job_closer.h
@@ -1,7 +1,7 @@
 #pragma once
-// Writes the final states of jobs all of whose tasks are done. Owns the time since which completed
-// jobs wait for their turn; LedgerWriter asks it before it writes a page, sends what it drafts and
-// reports the result. A job is `closing` while its final state is in flight.
+// Writes the final states of jobs whose tasks are all done. LedgerWriter asks it for a transaction
+// before it writes a page, sends the transaction and reports the result. A job is `closing` while
+// its final state is in flight.
 
 #include <cstddef>
 #include <optional>
@@ -21,26 +21,27 @@
   JobCloser(const Settings& settings, JobTable& jobs, TaskLifecycle& lifecycle)
       : settings_(settings), jobs_(jobs), lifecycle_(lifecycle) {}
 
-  // Whether final states are to be written before anything else; asked once for each transaction.
-  // If so, the wait for the next turn begins anew. Jobs are closed together, but their users have
-  // to be told within 3 s. `starts_wait`: another write has starts, which go first for a while.
-  bool take_turn(double now, bool starts_wait);
-  // Completed jobs whose final state may be written now, as many as one transaction takes. `room`:
-  // so many changes may be made at once; a few always may.
-  std::vector<Index> next_jobs(double now, size_t room) const;
-  // Drafts the write of these jobs' final states into a transaction that has its id and the
-  // leader's condition. They are `closing` from now on.
+  // Whether the next transaction should write final states; called once for each transaction. If
+  // true, a new batching interval begins. Final states are written in batches, but users must see
+  // them within 3 s. `starts_pending`: the page to write next has starts, which go first until the
+  // batching interval ends.
+  bool start_batch_if_due(double now, bool starts_pending);
+  // Returns completed jobs whose final state may be written now, at most as many as fit one
+  // transaction. `max_changes` limits them further, but never below a minimum of a few jobs.
+  std::vector<Index> jobs_to_close(double now, size_t max_changes) const;
+  // Adds the final states of the jobs to a transaction that has its id and the condition on the
+  // leader key. Sets the jobs to `closing`.
   LedgerWrite begin_write(const std::vector<Index>& jobs, ledger::Transaction transaction);
-  // Such a write was answered (anything but unknown).
+  // Handles the result of a write of final states. Its outcome must not be `unknown`.
   void on_result(const std::vector<Index>& jobs, const ledger::Result& result, double now);
 
  private:
-  void finish(Job& job, uint64_t version);
+  void mark_done(Job& job, uint64_t version);
 
   const Settings& settings_;
   JobTable& jobs_;
   TaskLifecycle& lifecycle_;
-  std::optional<double> waiting_since_;  // empty: no job is completed
+  std::optional<double> batch_open_since_;  // empty: no job is completed
 };
 
 }  // namespace rookdyke
--- a/src/ledger_writer/ledger_limits.h
+++ b/src/ledger_writer/ledger_limits.h
@@ -1,7 +1,7 @@
 #pragma once
-// Which size limits of the state service hold now: the configured ones, or the lowered ones that it
-// switches to at some unknown moment (Settings::next_limits). Owned by LedgerWriter, which switches
-// them; read by those that lay out pages.
+// The size limits of the state service that apply now: the configured ones, or the lowered ones
+// that it switches to at an unknown time (Settings::next_limits). Owned by LedgerWriter, which
+// detects or is told of the switch; read by PageSplitter and PageWriter.
 
 #include <spdlog/spdlog.h>
 
@@ -17,8 +17,7 @@
   // `settings` must outlive this object.
   explicit LedgerLimits(const Settings& settings) : settings_(settings) {}
 
-  // The state service has lowered its limits. Final; does nothing if no lowered limits are
-  // configured.
+  // Switches to the lowered limits for good. Does nothing if none are configured.
   void apply_lowered() {
     if (!settings_.next_limits || lowered_) return;
     lowered_ = true;
@@ -27,11 +26,11 @@
   }
   bool are_lowered() const { return lowered_; }
 
-  // The bytes that the entries of a page may take now. New chunks are laid out for the lowered
-  // limits from the start (PageTable); only older pages may hold more, and only until the limits
-  // are lowered.
-  size_t page_room() const {
-    return ledger::page_room(lowered_ ? settings_.lasting_value_bytes() : settings_.value_bytes);
+  // The bytes that the entries of a page may take now. PageTable fills pages only up to the lowered
+  // limits; pages from before may hold more until the limits are lowered.
+  size_t page_capacity() const {
+    return ledger::page_capacity(lowered_ ? settings_.lasting_value_bytes()
+                                          : settings_.value_bytes);
   }
 
  private:
--- a/src/ledger_writer/ledger_write.h
+++ b/src/ledger_writer/ledger_write.h
@@ -1,7 +1,7 @@
 #pragma once
-// One transaction that writes to the ledger, with what its result will be about. PageWriter,
-// JobCloser and RentedListWriter draft them; LedgerWriter sends them and keeps them until they are
-// answered.
+// A transaction that writes to the ledger, with the data needed to apply its result. Created by
+// PageWriter, JobCloser and RentedListWriter; sent by LedgerWriter, which keeps it until its
+// outcome is known.
 
 #include <cstdint>
 #include <variant>
@@ -12,7 +12,7 @@
 
 namespace rookdyke {
 
-// A task of a job, by the job's index.
+// Identifies a task by its job's index and its number.
 struct TaskRef {
   Index job = kNone;
   uint32_t task = 0;
@@ -21,21 +21,22 @@
 // Writes one page.
 struct PageWrite {
   Index page = kNone;
-  std::vector<TaskRef> started;  // whose starts become durable with it
-  std::vector<TaskRef> ended;    // whose ends become durable with it
+  std::vector<TaskRef> started;  // tasks whose starts become durable
+  std::vector<TaskRef> ended;    // tasks whose ends become durable
 };
 
 // Writes the final states of jobs.
-struct JobClosing {};
+struct FinalStateWrite {};
 
 // Writes rows of the list of rented machines.
 struct RentedListWrite {};
 
 struct LedgerWrite {
   ledger::Transaction transaction;
-  // Jobs whose row or attempts it names, each once. None of them is erased while it is in flight.
+  // Jobs whose row or attempts the transaction contains, without duplicates. They are not erased
+  // while it is in flight.
   std::vector<Index> jobs;
-  std::variant<PageWrite, JobClosing, RentedListWrite> content;
+  std::variant<PageWrite, FinalStateWrite, RentedListWrite> content;
 };
 
 }  // namespace rookdyke
--- a/src/ledger_writer/ledger_writer.cpp
+++ b/src/ledger_writer/ledger_writer.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-// Until a transaction whose outcome is not known goes out again, in seconds.
-constexpr double kRepeatUnknownInterval = 0.3;
-constexpr double kRepeatRefusedInterval = 0.5;
+// Intervals after which a transaction of which a copy may still be executed is resent.
+constexpr double kIndeterminateResendIntervalS = 0.3;
+constexpr double kRefusedResendIntervalS = 0.5;
 
-// The job that a key of the ledger is about; empty: it is no job's key.
-std::optional<std::string> job_of_key(const std::string& key) {
+// The job id in the key of a job's row; empty for other keys.
+std::optional<std::string> job_id_of_key(const std::string& key) {
   const std::string_view prefix = ledger::kJobPrefix;
   if (key.compare(0, prefix.size(), prefix) != 0) return std::nullopt;
   return key.substr(prefix.size());
@@ -39,23 +39,23 @@
       job_closer_(settings, jobs, lifecycle),
       rented_list_writer_(settings, catalog, machines, rented_list) {}
 
-// ---------------------------------------------------------------- what is sent
+// ---------------------------------------------------------------- selecting transactions
 
-std::optional<PendingTransaction> LedgerWriter::next_transaction(double now, size_t room) {
+std::optional<PendingTransaction> LedgerWriter::next_transaction(double now, size_t max_changes) {
   if (claim_.is_lost()) return std::nullopt;
-  if (auto repeated = repeat_unanswered(now)) return repeated;
+  if (auto resend = next_resend(now)) return resend;
   const std::optional<Index> page = next_page(now);
-  const bool starts_wait = page && page_writer_.starts_wait_for(*page);
-  if (job_closer_.take_turn(now, starts_wait))
-    if (auto closing = close_jobs(now, room)) return closing;
-  // The rented list too is put off only so long.
+  const bool starts_pending = page && page_writer_.has_pending_starts(*page);
+  if (job_closer_.start_batch_if_due(now, starts_pending))
+    if (auto closing = close_jobs(now, max_changes)) return closing;
+  // Page writes have priority over the rented list until it is overdue.
   if (!page || rented_list_writer_.overdue(now))
     if (auto list = write_rented_list(now)) return list;
   if (!page) return std::nullopt;
   return send(page_writer_.begin_write(*page, begin_transaction(), now));
 }
 
-// A transaction with a new id that is applied only while we lead.
+// Creates a transaction with a new id that is applied only while this controller is the leader.
 ledger::Transaction LedgerWriter::begin_transaction() {
   ++last_id_;
   ledger::Transaction transaction;
@@ -65,7 +65,7 @@
   return transaction;
 }
 
-// `write` is of the transaction that was begun last.
+// `write` must contain the transaction that begin_transaction() returned last.
 PendingTransaction LedgerWriter::send(LedgerWrite write) {
   for (const Index job : write.jobs) ++jobs_[job].in_flight_transactions;
   PendingTransaction pending{last_id_, write.transaction, false};
@@ -73,27 +73,27 @@
   return pending;
 }
 
-// An unanswered transaction goes out again, word for word, before anything else is decided about
-// its rows: whatever copy is executed, the outcome is the same.
-std::optional<PendingTransaction> LedgerWriter::repeat_unanswered(double now) {
+// A transaction with an indeterminate outcome is resent unchanged before anything else is written
+// to its rows, so that the effect is the same whichever copy is executed.
+std::optional<PendingTransaction> LedgerWriter::next_resend(double now) {
   for (auto& [id, in_flight] : in_flight_) {
-    if (!in_flight.repeat_at || *in_flight.repeat_at > now) continue;
-    in_flight.repeat_at.reset();
-    in_flight.sent_again = true;
+    if (!in_flight.resend_at || *in_flight.resend_at > now) continue;
+    in_flight.resend_at.reset();
+    in_flight.was_resent = true;
     return PendingTransaction{id, in_flight.write.transaction, true};
   }
   return std::nullopt;
 }
 
-// Pages that are too large are split on the way; what they were split into goes first.
+// Splits pages that are too large; the pages that took their chunks are written first.
 std::optional<Index> LedgerWriter::next_page(double now) {
   std::optional<Index> page = page_writer_.next_page(now);
   while (page && page_splitter_.split(*page, now)) page = page_writer_.next_page(now);
   return page;
 }
 
-std::optional<PendingTransaction> LedgerWriter::close_jobs(double now, size_t room) {
-  const std::vector<Index> jobs = job_closer_.next_jobs(now, room);
+std::optional<PendingTransaction> LedgerWriter::close_jobs(double now, size_t max_changes) {
+  const std::vector<Index> jobs = job_closer_.jobs_to_close(now, max_changes);
   if (jobs.empty()) return std::nullopt;
   return send(job_closer_.begin_write(jobs, begin_transaction()));
 }
@@ -103,22 +103,22 @@
   return send(rented_list_writer_.begin_write(begin_transaction(), now));
 }
 
-size_t LedgerWriter::unsent() const {
+size_t LedgerWriter::pending_writes() const {
   return jobs_.completed().size() + in_flight_.size() + page_writer_.dirty_count();
 }
 
-// ---------------------------------------------------------------- what its result means
+// ---------------------------------------------------------------- applying results
 
 bool LedgerWriter::on_result(uint64_t id, const ledger::Result& result, double now) {
   const auto it = in_flight_.find(id);
   if (it == in_flight_.end()) return false;
-  if (repeat_if_open(it->second, result.outcome, now)) return false;
+  if (schedule_resend_if_undecided(it->second, result.outcome, now)) return false;
   if (result.outcome == Outcome::rejected) {
     on_rejection(it->second.write.transaction);
-    // No other copy will be executed either, but an earlier one may still be: with the end of our
-    // leadership the leader key makes it void, and a successor reads what became of it.
-    if (it->second.sent_again) {
-      claim_.lose("an unanswered transaction is rejected now");
+    // An earlier copy may still be executed. Once the leadership ends, the condition on the leader
+    // key prevents that, and the successor reads the resulting state.
+    if (it->second.was_resent) {
+      claim_.lose("a resent transaction with an indeterminate outcome was rejected");
       return false;
     }
   }
@@ -126,50 +126,55 @@
   in_flight_.erase(it);
   for (const Index index : write.jobs)
     if (Job* job = jobs_.find(index)) --job->in_flight_transactions;
-  if (result.outcome == Outcome::conflict && !accept_conflicts(result.failed, now)) return false;
+  if (result.outcome == Outcome::conflict && !resolve_conflicts(result.failed, now)) return false;
   const bool frees_tasks = apply_result(write, result, now);
-  finish_jobs(write.jobs);
+  apply_deferred_job_changes(write.jobs);
   return frees_tasks;
 }
 
-// Whether a copy of the transaction may still be executed; then it goes out again.
-bool LedgerWriter::repeat_if_open(InFlightTransaction& in_flight, Outcome outcome, double now) {
+// Schedules a resend if a copy of the transaction may still be executed; returns whether it may.
+bool LedgerWriter::schedule_resend_if_undecided(InFlightTransaction& in_flight, Outcome outcome,
+                                                double now) {
   if (outcome == Outcome::unknown) {
-    in_flight.repeat_at = now + kRepeatUnknownInterval;
+    in_flight.resend_at = now + kIndeterminateResendIntervalS;
     return true;
   }
-  // This copy was not executed, but an earlier one may be.
-  if (outcome == Outcome::refused && in_flight.sent_again) {
-    in_flight.repeat_at = now + kRepeatRefusedInterval;
+  // This copy was not executed, but an earlier one may have been.
+  if (outcome == Outcome::refused && in_flight.was_resent) {
+    in_flight.resend_at = now + kRefusedResendIntervalS;
     return true;
   }
   return false;
 }
 
-// The state service takes nothing that large, or nothing of that form.
+// The transaction is too large for the state service or malformed. If it exceeds the lowered
+// limits, the state service has switched to them.
 void LedgerWriter::on_rejection(const ledger::Transaction& transaction) {
-  bool large = transaction.changes.size() > settings_.lasting_txn_ops();
+  bool is_too_large = transaction.changes.size() > settings_.lasting_txn_ops();
   for (const ledger::Change& change : transaction.changes)
-    large = large || ledger::value_size(change.value) > settings_.lasting_value_bytes();
-  if (large && settings_.next_limits)
+    is_too_large =
+        is_too_large || ledger::value_size(change.value) > settings_.lasting_value_bytes();
+  if (is_too_large && settings_.next_limits)
     limits_.apply_lowered();
   else
-    spdlog::error("ledger: a transaction of {} changes is rejected", transaction.changes.size());
+    spdlog::error("ledger: the state service rejected a transaction of {} changes",
+                  transaction.changes.size());
 }
 
-// Jobs whose row has changed are stale until the watch brings it. False: the conflict shows that we
-// do not lead any more, or that the ledger is not as we wrote it.
-bool LedgerWriter::accept_conflicts(const std::vector<std::string>& failed_keys, double now) {
+// Marks jobs whose row has changed as stale until the watch delivers the new row. Returns false if
+// the conflict shows that this controller is no longer the leader or that another writer has
+// changed its rows.
+bool LedgerWriter::resolve_conflicts(const std::vector<std::string>& failed_keys, double now) {
   for (const std::string& key : failed_keys) {
     if (key == ledger::kLeaderKey) {
-      claim_.lose("the leader key is not ours any more");
+      claim_.lose("the leader key has changed");
       return false;
     }
-    const auto name = job_of_key(key);
-    // Nobody but the leader writes pages and the rented list; a ledger that disagrees is read anew
-    // from scratch.
+    const auto name = job_id_of_key(key);
+    // Only the leader writes pages and the rented list. If they differ from what it wrote, it steps
+    // down, and the next leader reads the whole ledger.
     if (!name) {
-      claim_.lose(key + " is not as we left it");
+      claim_.lose(key + " was changed by another writer");
       return false;
     }
     Job* job = jobs_.find(*name);
@@ -178,20 +183,21 @@
   return true;
 }
 
-// True: tasks have become free to start again.
+// Returns whether tasks can be started again.
 bool LedgerWriter::apply_result(const LedgerWrite& write, const ledger::Result& result,
                                 double now) {
   if (const auto* page = std::get_if<PageWrite>(&write.content))
     return page_writer_.on_result(*page, write.jobs, result, now);
-  if (std::holds_alternative<JobClosing>(write.content))
+  if (std::holds_alternative<FinalStateWrite>(write.content))
     job_closer_.on_result(write.jobs, result, now);
   else
     rented_list_writer_.on_result(write.transaction, result);
   return false;
 }
 
-// What could not be stopped or erased while the transaction was in flight.
-void LedgerWriter::finish_jobs(const std::vector<Index>& jobs) {
+// Stops attempts of cancelled jobs and erases finished jobs, which had to wait until the
+// transaction was no longer in flight.
+void LedgerWriter::apply_deferred_job_changes(const std::vector<Index>& jobs) {
   for (const Index index : jobs) {
     Job* job = jobs_.find(index);
     if (!job) continue;
--- a/src/ledger_writer/ledger_writer.h
+++ b/src/ledger_writer/ledger_writer.h
@@ -1,12 +1,12 @@
 #pragma once
-// Writes the leader's decisions to the ledger: which transaction goes next, and what its result
-// means. Owns the transactions in flight and their ids, and the limits that hold for them; what
-// they say is drafted by PageWriter, JobCloser and RentedListWriter, and results go back to them.
-// Called by the scheduler, single-threaded, told the time.
+// Writes the leader's decisions to the ledger: selects the next transaction and applies its result.
+// Owns the transactions in flight, their ids and the size limits. PageWriter, JobCloser and
+// RentedListWriter create the transactions' contents and handle their results. Called by the
+// scheduler. Single-threaded; all times are arguments.
 //
-// Every transaction is conditional on the leader key, so that none of a former leader is applied.
-// One whose outcome is unknown goes out again unchanged until it is answered; nothing else is
-// decided about its rows meanwhile.
+// Every transaction is conditional on the leader key, so that none of a former leader is applied. A
+// transaction with an indeterminate outcome is resent unchanged until the outcome is known; until
+// then, no other transaction writes its rows.
 
 #include <cstddef>
 #include <cstdint>
@@ -43,44 +43,46 @@
                PageTable& pages, RentedList& rented_list, TaskLifecycle& lifecycle,
                LeadershipClaim& claim);
 
-  // Takes over the list of rented machines as a predecessor left it.
+  // Loads the list of rented machines that a predecessor wrote.
   void load_rented_list(const LedgerCache& ledger, double now) {
     rented_list_writer_.load(ledger, now);
   }
 
-  // The transaction to send now, if any; on_result() is to be called with its answer. `room`: so
-  // many changes may be made at once; a single row always may.
-  std::optional<PendingTransaction> next_transaction(double now, size_t room);
-  // A transaction was answered, or its answer did not arrive (unknown). True: tasks have become
-  // free to start again, which a round should look at soon.
+  // Returns the transaction to send now, if any; its result must be passed to on_result().
+  // `max_changes` is the number of changes that the write rate permits now; it limits only the
+  // final states of jobs, of which a few are always permitted.
+  std::optional<PendingTransaction> next_transaction(double now, size_t max_changes);
+  // Handles the result of a transaction; its outcome is `unknown` if the response was lost. Returns
+  // whether tasks can be started again, which calls for a scheduling round soon.
   bool on_result(uint64_t id, const ledger::Result& result, double now);
 
-  // Rows that wait to be written, and transactions in flight.
-  size_t unsent() const;
+  // The number of completed jobs and dirty pages to be written and of transactions in flight.
+  size_t pending_writes() const;
 
-  // The state service has lowered its limits: pages that are too large for them are split.
+  // Switches to the state service's lowered limits. Pages that exceed them are split.
   void apply_lowered_limits() { limits_.apply_lowered(); }
   bool uses_lowered_limits() const { return limits_.are_lowered(); }
 
  private:
   struct InFlightTransaction {
     LedgerWrite write;
-    std::optional<double> repeat_at;  // the outcome is unknown: it goes out again then, unchanged
-    bool sent_again = false;
+    std::optional<double> resend_at;  // set if a copy may still be executed
+    bool was_resent = false;
   };
 
   ledger::Transaction begin_transaction();
   PendingTransaction send(LedgerWrite write);
-  std::optional<PendingTransaction> repeat_unanswered(double now);
+  std::optional<PendingTransaction> next_resend(double now);
   std::optional<Index> next_page(double now);
-  std::optional<PendingTransaction> close_jobs(double now, size_t room);
+  std::optional<PendingTransaction> close_jobs(double now, size_t max_changes);
   std::optional<PendingTransaction> write_rented_list(double now);
 
-  static bool repeat_if_open(InFlightTransaction& in_flight, ledger::Outcome outcome, double now);
+  static bool schedule_resend_if_undecided(InFlightTransaction& in_flight, ledger::Outcome outcome,
+                                           double now);
   void on_rejection(const ledger::Transaction& transaction);
-  bool accept_conflicts(const std::vector<std::string>& failed_keys, double now);
+  bool resolve_conflicts(const std::vector<std::string>& failed_keys, double now);
   bool apply_result(const LedgerWrite& write, const ledger::Result& result, double now);
-  void finish_jobs(const std::vector<Index>& jobs);
+  void apply_deferred_job_changes(const std::vector<Index>& jobs);
 
   const Settings& settings_;
   JobTable& jobs_;
--- a/src/ledger_writer/page_content.cpp
+++ b/src/ledger_writer/page_content.cpp
@@ -38,7 +38,7 @@
   return chunk;
 }
 
-size_t PageContent::wanted_size(const Job& job, uint32_t first) const {
+size_t PageContent::size_with_proposals(const Job& job, uint32_t first) const {
   const uint32_t count = job.chunks.at(first).count;
   const uint32_t end = first + count;
   size_t size = entry_size(job.spec.id, durable_chunk(job, first, count));
@@ -51,9 +51,10 @@
   return size;
 }
 
-size_t PageContent::wanted_size(const Page& page) const {
+size_t PageContent::size_with_proposals(const Page& page) const {
   size_t size = entries_size(page.unreadable_jobs);
-  for (const ChunkRef& chunk : page.members) size += wanted_size(jobs_[chunk.job], chunk.first);
+  for (const ChunkRef& chunk : page.chunks)
+    size += size_with_proposals(jobs_[chunk.job], chunk.first);
   return size;
 }
 
--- a/src/ledger_writer/page_content.h
+++ b/src/ledger_writer/page_content.h
@@ -1,6 +1,6 @@
 #pragma once
-// What of the jobs' chunks goes into a page, and how many bytes that takes. Reads the tables and
-// changes nothing; used by PageWriter and PageSplitter.
+// Builds the contents of pages from the job and machine tables and computes their sizes. Read-only;
+// used by PageWriter and PageSplitter.
 
 #include <cstddef>
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace rookdyke {
 
-// At least the bytes that these take in a page.
+// Upper bounds of the size in a page of an entry, and of several entries.
 size_t entry_size(const std::string& job, const ledger::Chunk& chunk);
 size_t entries_size(const std::vector<ledger::PageEntry>& entries);
 
@@ -25,17 +25,17 @@
   PageContent(const JobTable& jobs, const MachineTable& machines)
       : jobs_(jobs), machines_(machines) {}
 
-  // What is durable of the job's tasks [first, first + count), or is to be with the next write:
-  // everything but proposed starts.
+  // The state of the job's tasks [first, first + count) that is durable or becomes so with the next
+  // write, without proposed starts.
   ledger::Chunk durable_chunk(const Job& job, uint32_t first, uint32_t count) const;
-  // The attempt as a page has it.
+  // The attempt in the form that is stored in a page.
   ledger::LiveAttempt live_attempt(const Attempt& attempt) const;
 
-  // The bytes that the chunk that begins with task `first` takes with its proposed starts. They
-  // count too: in a page that has no room for them they would wait until others end.
-  size_t wanted_size(const Job& job, uint32_t first) const;
-  // The same for all entries of a page.
-  size_t wanted_size(const Page& page) const;
+  // The size in bytes of the chunk that begins with task `first`, including its proposed starts: in
+  // a page without free capacity for them they would be deferred until other attempts end.
+  size_t size_with_proposals(const Job& job, uint32_t first) const;
+  // The size in bytes of all entries of a page, including proposed starts.
+  size_t size_with_proposals(const Page& page) const;
 
  private:
   const JobTable& jobs_;
--- a/src/ledger_writer/page_writer.cpp
+++ b/src/ledger_writer/page_writer.cpp
@@ -11,47 +11,47 @@
 
 namespace {
 
-// Ends that nobody waits for are gathered this many seconds before their page is written: their
-// workers list them until then, so that a new leader hears of them all the same.
-constexpr double kGatherEndsInterval = 6;
-// A page gains one step of urgency for each of these, in seconds, so that none is put off for ever.
-// Replicas go first all the same; they are few.
-constexpr double kUrgencyStepInterval = 8;
+// Ends of completed tasks, which nothing waits for, are batched for this interval. Workers list
+// them until they are durable, so that a new leader learns of them in any case.
+constexpr double kEndsBatchIntervalS = 6;
+// A page gains one level of urgency per interval, so that no write is deferred for ever. It does
+// not reach the urgency of replicas, whose writes are few.
+constexpr double kUrgencyStepIntervalS = 8;
 constexpr size_t kConditionsPerChange = 4;  // the state service's limit
-// After a write that had no room for all starts, in seconds.
-constexpr double kOmittedStartsInterval = 0.1;
+// Delay of the next write after one without free capacity for all starts.
+constexpr double kOmittedStartsRetryS = 0.1;
 
-// The smallest is written first.
-struct PageRank {
+// Sort key of dirty pages; the smallest is written first.
+struct WriteOrder {
   int urgency;
   double dirty_since;
 
-  bool operator<(const PageRank& other) const {
+  bool operator<(const WriteOrder& other) const {
     return std::tie(urgency, dirty_since) < std::tie(other.urgency, other.dirty_since);
   }
 };
 
 // The page must be dirty.
-PageRank rank_of(const Page& page, double now) {
-  constexpr int kMostUrgentByAge = static_cast<int>(WriteUrgency::prompt_start);
+WriteOrder write_order(const Page& page, double now) {
+  constexpr int kMaxUrgencyByAge = static_cast<int>(WriteUrgency::start_objective);
   const double dirty_since = page.dirty_since.value();
   const int urgency = static_cast<int>(page.write_urgency);
-  if (urgency <= kMostUrgentByAge) return {urgency, dirty_since};
-  const int steps = static_cast<int>((now - dirty_since) / kUrgencyStepInterval);
-  return {std::max(kMostUrgentByAge, urgency - steps), dirty_since};
+  if (urgency <= kMaxUrgencyByAge) return {urgency, dirty_since};
+  const int steps = static_cast<int>((now - dirty_since) / kUrgencyStepIntervalS);
+  return {std::max(kMaxUrgencyByAge, urgency - steps), dirty_since};
 }
 
-bool may_be_written(const Page& page, double now) {
-  if (!page.dirty_since || page.in_flight || page.unwritten_splits > 0 || page.retry_at > now)
+bool is_writable(const Page& page, double now) {
+  if (!page.dirty_since || page.in_flight || page.pending_split_pages > 0 || page.retry_at > now)
     return false;
-  return page.write_urgency != WriteUrgency::none || now - *page.dirty_since >= kGatherEndsInterval;
+  return page.write_urgency != WriteUrgency::none || now - *page.dirty_since >= kEndsBatchIntervalS;
 }
 
 }  // namespace
 
-// A page as it is about to be written.
+// The contents of a page write under construction.
 struct PageWriter::Draft {
-  struct Start {  // a proposal that may be written with it
+  struct Start {  // a proposal that may be included
     size_t entry;
     Job* job;
     Attempt* attempt;
@@ -60,9 +60,9 @@
   size_t size = 0;  // bytes of its entries
   std::vector<Start> starts;
   std::vector<TaskRef> started, ended;
-  bool omits_starts = false;  // some have no room in this write
+  bool has_omitted_starts = false;  // some do not fit this write
 
-  // The jobs of all attempts that this write is about.
+  // The jobs of all attempts whose start or end is included.
   std::vector<Index> jobs() const {
     std::set<Index> named;
     for (const TaskRef& ref : started) named.insert(ref.job);
@@ -71,18 +71,18 @@
   }
 };
 
-// ---------------------------------------------------------------- which page
+// ---------------------------------------------------------------- page selection
 
 std::optional<Index> PageWriter::next_page(double now) const {
   std::optional<Index> first;
   for (Index i = 0; i < pages_.size(); ++i) {
-    if (!may_be_written(pages_[i], now)) continue;
-    if (!first || rank_of(pages_[i], now) < rank_of(pages_[*first], now)) first = i;
+    if (!is_writable(pages_[i], now)) continue;
+    if (!first || write_order(pages_[i], now) < write_order(pages_[*first], now)) first = i;
   }
   return first;
 }
 
-bool PageWriter::starts_wait_for(Index page) const {
+bool PageWriter::has_pending_starts(Index page) const {
   return pages_[page].write_urgency < WriteUrgency::restart;
 }
 
@@ -92,7 +92,7 @@
                        [](const Page& page) { return page.dirty_since.has_value(); });
 }
 
-// ---------------------------------------------------------------- drafts
+// ---------------------------------------------------------------- page contents
 
 LedgerWrite PageWriter::begin_write(Index number, ledger::Transaction transaction, double now) {
   Page& page = pages_[number];
@@ -104,19 +104,19 @@
   transaction.changes = {{ledger::page_key(number), false, ledger::encode(draft.page), 0}};
   page.in_flight = true;
   page.mark_clean();
-  if (draft.omits_starts) {
-    page.mark_dirty(WriteUrgency::prompt_start, now);
-    page.retry_at = now + kOmittedStartsInterval;
+  if (draft.has_omitted_starts) {
+    page.mark_dirty(WriteUrgency::start_objective, now);
+    page.retry_at = now + kOmittedStartsRetryS;
   }
   return {std::move(transaction), draft.jobs(),
           PageWrite{number, std::move(draft.started), std::move(draft.ended)}};
 }
 
-// What is durable already has its place before any new start.
+// Adds the durable state of all chunks; add_starts() then fills the remaining capacity.
 void PageWriter::draft_entries(const Page& page, Draft& draft) {
   draft.page.entries = page.unreadable_jobs;
   draft.size = entries_size(page.unreadable_jobs);
-  for (const ChunkRef& chunk : page.members) {
+  for (const ChunkRef& chunk : page.chunks) {
     Job& job = jobs_[chunk.job];
     if (job.state == JobState::open && job.in_flight_transactions == 0)
       lifecycle_.withdraw_proposals(job, false);
@@ -138,7 +138,7 @@
   return entry;
 }
 
-// The ended and the proposed attempts of a chunk whose entry is the next to be drafted.
+// Collects the ended and proposed attempts of the chunk whose entry is added next.
 void PageWriter::collect_attempts(Job& job, uint32_t first, Draft& draft) {
   const uint32_t end = first + job.chunks.at(first).count;
   for (auto it = job.attempts.lower_bound(first); it != job.attempts.end() && it->first < end;
@@ -150,19 +150,20 @@
   }
 }
 
-// Invariant 1: the leader key and the job's version guard every start. The page's own version makes
-// a repeat or a late copy of this transaction harmless: exactly one copy can apply.
+// Every start is conditional on the leader key and the version of its job's row (invariant 1). The
+// condition on the page's version ensures that at most one copy of the transaction is applied if it
+// is resent or delayed.
 void PageWriter::add_starts(Draft& draft, std::vector<ledger::Condition>& conditions) {
-  const size_t most_conditions = kConditionsPerChange * settings_.lasting_txn_ops();
+  const size_t max_conditions = kConditionsPerChange * settings_.lasting_txn_ops();
   std::set<Index> guarded;  // jobs whose version is among the conditions
   for (const Draft::Start& start : draft.starts) {
     const Job& job = *start.job;
     if (job.state != JobState::open || job.is_stale()) continue;
     const ledger::LiveAttempt live = content_.live_attempt(*start.attempt);
     const bool needs_guard = !guarded.count(job.id);
-    if (draft.size + ledger::encoded_size(live) > limits_.page_room() ||
-        (needs_guard && conditions.size() >= most_conditions)) {
-      draft.omits_starts = true;
+    if (draft.size + ledger::encoded_size(live) > limits_.page_capacity() ||
+        (needs_guard && conditions.size() >= max_conditions)) {
+      draft.has_omitted_starts = true;
       continue;
     }
     if (needs_guard) {
@@ -186,22 +187,22 @@
     return false;
   }
   mark_durable(page, result.revision);
-  place_started(write.started, now);
-  return release_ended(write.ended);
+  mark_starts_placed(write.started, now);
+  return release_ended_attempts(write.ended);
 }
 
-// Nothing was written. Proposals of a job whose row changed are void, for they were never ordered;
-// all others are written anew.
+// The page was not written. Withdraws proposals of jobs whose row has changed, which is safe since
+// no worker was told to start them; all others are written again.
 void PageWriter::on_not_applied(Page& page, const std::vector<Index>& jobs, ledger::Outcome outcome,
                                 double now) {
-  if (outcome == ledger::Outcome::refused) page.retry_at = now + kRetryRefusedInterval;
+  if (outcome == ledger::Outcome::refused) page.retry_at = now + kRefusedRetryIntervalS;
   if (outcome == ledger::Outcome::rejected) {
-    const bool is_too_large = content_.wanted_size(page) > limits_.page_room();
-    page.retry_at = now + (is_too_large ? 0 : kRetryRejectedInterval);
+    const bool is_too_large = content_.size_with_proposals(page) > limits_.page_capacity();
+    page.retry_at = now + (is_too_large ? 0 : kRejectedRetryIntervalS);
   }
   if (!page.dirty_since) page.dirty_since = now;
   page.write_urgency =
-      page.kind == PageKind::service ? WriteUrgency::replica : WriteUrgency::prompt_start;
+      page.kind == PageKind::service ? WriteUrgency::replica : WriteUrgency::start_objective;
   for (const Index index : jobs)
     if (Job* job = jobs_.find(index); job && (job->is_stale() || job->is_finished()))
       lifecycle_.withdraw_proposals(*job, true);
@@ -210,11 +211,11 @@
 void PageWriter::mark_durable(Page& page, uint64_t revision) {
   page.version = revision;
   if (page.split_from == kNone) return;
-  --pages_[page.split_from].unwritten_splits;
+  --pages_[page.split_from].pending_split_pages;
   page.split_from = kNone;
 }
 
-void PageWriter::place_started(const std::vector<TaskRef>& started, double now) {
+void PageWriter::mark_starts_placed(const std::vector<TaskRef>& started, double now) {
   for (const TaskRef& ref : started) {
     Job* job = jobs_.find(ref.job);
     if (!job) continue;
@@ -224,8 +225,8 @@
   }
 }
 
-// True: there were any.
-bool PageWriter::release_ended(const std::vector<TaskRef>& ended) {
+// Returns whether any attempt was released.
+bool PageWriter::release_ended_attempts(const std::vector<TaskRef>& ended) {
   bool any = false;
   for (const TaskRef& ref : ended) {
     Job* job = jobs_.find(ref.job);
--- a/src/ledger_writer/page_writer.h
+++ b/src/ledger_writer/page_writer.h
@@ -1,7 +1,7 @@
 #pragma once
-// Writes pages: picks the next one, drafts its entries with as many new starts as fit, and applies
-// the result to the attempts it is about. A page is dirty, then in flight, then either durable or
-// dirty again. LedgerWriter sends what is drafted here; at most one write of a page is in flight.
+// Writes pages: selects the next one, creates its entries with as many new starts as fit, and
+// applies the result to their attempts. A page is dirty, then in flight, then either durable or
+// dirty again. LedgerWriter sends the transactions; at most one write of a page is in flight.
 
 #include <cstddef>
 #include <optional>
@@ -30,18 +30,19 @@
         pages_(pages),
         lifecycle_(lifecycle) {}
 
-  // The page to write next: by who waits for it, then by age. Mere ends are gathered, as their
-  // workers list them until they are durable. Empty: there is none.
+  // The page to write next, by urgency and then by age; empty if there is none. Ends of completed
+  // tasks alone are batched, as workers list them until they are durable.
   std::optional<Index> next_page(double now) const;
   // Whether starts of tasks wait for the page to be written.
-  bool starts_wait_for(Index page) const;
-  // Dirty pages; those in flight count only if they have changed since.
+  bool has_pending_starts(Index page) const;
+  // The number of dirty pages. Pages in flight count only if they have changed since.
   size_t dirty_count() const;
 
-  // Drafts the page into a transaction that has its id and the leader's condition. The page is in
-  // flight from now on. Withdraws proposals that make no sense any more.
+  // Adds the page to a transaction that has its id and the condition on the leader key, and marks
+  // the page as in flight. Withdraws proposals that are no longer valid.
   LedgerWrite begin_write(Index page, ledger::Transaction transaction, double now);
-  // Such a write was answered (anything but unknown). True: tasks have become free to start again.
+  // Handles the result of a page write. Its outcome must not be `unknown`. Returns whether tasks
+  // can be started again.
   bool on_result(const PageWrite& write, const std::vector<Index>& jobs,
                  const ledger::Result& result, double now);
 
@@ -55,8 +56,8 @@
   void on_not_applied(Page& page, const std::vector<Index>& jobs, ledger::Outcome outcome,
                       double now);
   void mark_durable(Page& page, uint64_t revision);
-  void place_started(const std::vector<TaskRef>& started, double now);
-  bool release_ended(const std::vector<TaskRef>& ended);
+  void mark_starts_placed(const std::vector<TaskRef>& started, double now);
+  bool release_ended_attempts(const std::vector<TaskRef>& ended);
 
   const Settings& settings_;
   const LedgerLimits& limits_;
--- a/src/ledger_writer/rented_list_writer.cpp
+++ b/src/ledger_writer/rented_list_writer.cpp
@@ -14,7 +14,7 @@
   }
 }
 
-// Empty: there is no machine of that index, or it does not belong on the list.
+// Returns empty if there is no machine with the given index or it is not to be listed.
 std::optional<RentedMachine> RentedListWriter::listed_machine(Index index) const {
   if (index >= machines_.size()) return std::nullopt;
   const Machine& machine = machines_[index];
--- a/src/ledger_writer/rented_list_writer.h
+++ b/src/ledger_writer/rented_list_writer.h
@@ -1,7 +1,7 @@
 #pragma once
-// Writes the list of rented machines (ledger/rented_list.h) from the table of machines, and takes
-// it over from a predecessor. LedgerWriter decides when, sends what it drafts and reports the
-// result.
+// Writes the list of rented machines (ledger/rented_list.h) from the machine table, and loads the
+// list of a predecessor. LedgerWriter decides when to write, sends the transactions and reports
+// their results.
 
 #include <optional>
 
@@ -22,17 +22,18 @@
                    RentedList& rented_list)
       : settings_(settings), catalog_(catalog), machines_(machines), rented_list_(rented_list) {}
 
-  // Adds the machines of the list as a predecessor left it; all its rows are to be written anew.
+  // Adds the machines of the list that a predecessor wrote to the machine table. All rows are
+  // written again.
   void load(const LedgerCache& ledger, double now);
 
   // Whether a write may begin.
   bool can_write(double now) const { return rented_list_.can_write(now); }
-  // Whether the last write began so long ago that the next one goes before pages.
+  // Whether the last write began so long ago that the next one has priority over page writes.
   bool overdue(double now) const { return rented_list_.overdue(now); }
-  // Drafts the next write into a transaction that has its id and the leader's condition. Only if
-  // can_write(now).
+  // Adds changed rows to a transaction that has its id and the condition on the leader key.
+  // Requires can_write(now).
   LedgerWrite begin_write(ledger::Transaction transaction, double now);
-  // Such a write was answered (anything but unknown).
+  // Handles the result of a write. Its outcome must not be `unknown`.
   void on_result(const ledger::Transaction& transaction, const ledger::Result& result) {
     rented_list_.on_result(transaction, result);
   }
--- a/src/ledger_writer/retry_intervals.h
+++ b/src/ledger_writer/retry_intervals.h
@@ -1,11 +1,12 @@
 #pragma once
-// How long, in seconds, what the state service did not execute waits before it is drafted anew.
+// Intervals after which changes are written again if the state service did not execute their
+// transaction.
 
 namespace rookdyke {
 
-inline constexpr double kRetryRefusedInterval = 0.25;
-inline constexpr double kRetryConflictInterval = 0.02;
-// Of a transaction that was rejected although it is within all limits that we know.
-inline constexpr double kRetryRejectedInterval = 2;
+inline constexpr double kRefusedRetryIntervalS = 0.25;
+inline constexpr double kConflictRetryIntervalS = 0.02;
+// For a transaction that was rejected although it is within all known limits.
+inline constexpr double kRejectedRetryIntervalS = 2;
 
 }  // namespace rookdyke
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -78,7 +78,7 @@
   uint32_t tasks() const { return spec.tasks; }
   PageKind page_kind() const {
     if (is_service()) return PageKind::service;
-    return has_start_promise ? PageKind::prompt_start : PageKind::regular;
+    return has_start_promise ? PageKind::start_objective : PageKind::regular;
   }
   bool is_gang() const { return spec.shape == JobShape::gang; }
   bool is_finished() const { return state == JobState::done || state == JobState::cancelled; }
@@ -87,7 +87,7 @@
   // The first task of the chunk that the task lies in.
   uint32_t chunk_of(uint32_t task) const { return std::prev(chunks.upper_bound(task))->first; }
   size_t chunk_bytes(uint32_t first) const {
-    return ledger::chunk_reserve(spec.id, chunks.at(first).count);
+    return ledger::estimated_chunk_size(spec.id, chunks.at(first).count);
   }
 };
 
--- a/src/scheduler/job_loader.cpp
+++ b/src/scheduler/job_loader.cpp
@@ -155,7 +155,7 @@
   for (const auto& [first, slice] : latest_slices(job, row)) {
     add_unwritten(first);
     job.chunks[first] = {slice.end - first, kNone};
-    Page& page = pages_.at_least(slice.chunk->page);
+    Page& page = pages_.get_or_add(slice.chunk->page);
     pages_.add_chunk(job, first, slice.chunk->page);
     page.kind = job.page_kind();
     load_tasks(job, {first, slice.end - first}, slice.chunk->chunk, now);
@@ -191,7 +191,7 @@
 
 void JobLoader::load_pages(const LedgerCache& ledger) {
   for (const auto& [n, cached] : ledger.pages()) {
-    Page& page = pages_.at_least(n);
+    Page& page = pages_.get_or_add(n);
     page.version = cached.version;
     page.readable = cached.readable;
     if (!cached.readable)
@@ -221,9 +221,10 @@
 // What pages say of a job whose row cannot be read stays in them as it is.
 void JobLoader::keep_unreadable_job(const std::string& id, const CachedJob& row) {
   for (const auto& [key, cached] : row.chunks) {
-    Page& page = pages_.at_least(cached.page);
+    Page& page = pages_.get_or_add(cached.page);
     page.unreadable_jobs.push_back({id, key.n, cached.chunk, cached.range});
-    page.reserved += ledger::chunk_reserve(id, static_cast<uint32_t>(cached.chunk.live.size()));
+    page.reserved_bytes +=
+        ledger::estimated_chunk_size(id, static_cast<uint32_t>(cached.chunk.live.size()));
   }
 }
 
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -108,7 +108,7 @@
   std::optional<PendingTransaction> next_transaction(double now, size_t room = SIZE_MAX) {
     return ledger_writer_.next_transaction(now, room);
   }
-  size_t unsent() const { return ledger_writer_.unsent(); }  // rows that wait to be written
+  size_t unsent() const { return ledger_writer_.pending_writes(); }  // rows that wait to be written
   void on_result(uint64_t id, const ledger::Result& result, double now);
 
   std::optional<RentalRequest> next_rental_request(double now) {
--- a/src/scheduler/task_lifecycle.cpp
+++ b/src/scheduler/task_lifecycle.cpp
@@ -20,7 +20,7 @@
 
 WriteUrgency start_urgency(const Job& job) {
   if (job.is_service()) return WriteUrgency::replica;
-  return job.has_start_promise ? WriteUrgency::prompt_start : WriteUrgency::start;
+  return job.has_start_promise ? WriteUrgency::start_objective : WriteUrgency::start;
 }
 
 }  // namespace
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -17,7 +17,7 @@
 constexpr size_t kMinJobIdDigits = 6;
 constexpr size_t kMaxJobIdDigits = 18;
 constexpr size_t kMaxMachineTypes = 100;
-constexpr uint64_t kMaxTasks = ledger::kMostTasks;
+constexpr uint64_t kMaxTasks = ledger::kMaxTasks;
 
 constexpr std::array<NamedValue<JobShape>, 3> kShapes{{
     {value::shape::kArray, JobShape::array},
@@ -122,7 +122,7 @@
   if (reader.has(field::job::kZone)) job.zone = reader.name(field::job::kZone);
 }
 
-const char* status_name(const JobAnswer& answer) {
+const char* status_name(const JobProgress& answer) {
   if (answer.status == ledger::JobStatus::done) return value::job_status::kDone;
   if (answer.status == ledger::JobStatus::cancelled) return value::job_status::kCancelled;
   return answer.running > 0 ? value::job_status::kRunning : value::job_status::kPending;
@@ -158,7 +158,7 @@
   return job;
 }
 
-json job_answer(const std::string& id, const JobAnswer& answer, bool with_counts) {
+json job_answer(const std::string& id, const JobProgress& answer, bool with_counts) {
   json message = job_with_status(id, status_name(answer));
   if (with_counts) {
     message[field::job_status::kDoneTasks] = answer.done;
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -31,7 +31,7 @@
 DecodedJob parse_job(const json& submission);
 
 // The answer about a job; with_counts: also how many of its tasks are done and running.
-json job_answer(const std::string& id, const JobAnswer& answer, bool with_counts);
+json job_answer(const std::string& id, const JobProgress& answer, bool with_counts);
 // The answer to a submission and to a cancellation that were carried out.
 json job_accepted(const std::string& id);
 json job_cancelled(const std::string& id);
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -45,7 +45,7 @@
     for (const auto& [id, row] : old.at("jobs").items())
       ledger_cache.put(ledger::job_key(id), row, ++version);
     for (const auto& [n, page] : old.at("pages").items())
-      ledger_cache.put(ledger::kTaskPrefix + n, page, ++version);
+      ledger_cache.put(ledger::kPagePrefix + n, page, ++version);
     ledger_cache.put(ledger::kTypesKey, old.at("types"), ++version);
     ledger_cache.put(ledger::fleet_key(0), old.at("rented"), ++version);
     ledger_cache.put(ledger::kLeaderKey, old.at("leader"), ++version);
@@ -142,7 +142,7 @@
   ASSERT_TRUE(cancelled);
   EXPECT_TRUE(cancelled->attempts.at(1).stop);
   EXPECT_FALSE(scheduler.find_job("wk-000104")) << "it is done";
-  EXPECT_TRUE(ledger_cache.answer("wk-000104"));
+  EXPECT_TRUE(ledger_cache.job_progress("wk-000104"));
 }
 
 // Until the state service has lowered its limits an old replica may lead again: all is written in
--- a/tests/scheduler/failover_test.cpp
+++ b/tests/scheduler/failover_test.cpp
@@ -60,7 +60,7 @@
     const auto p = scheduler.next_transaction(now);
     if (!p) continue;
     const std::string& key = p->txn.changes.at(0).key;
-    pages += key.rfind(ledger::kTaskPrefix, 0) == 0;
+    pages += key.rfind(ledger::kPagePrefix, 0) == 0;
     lists += key.rfind(ledger::kFleetPrefix, 0) == 0;
     scheduler.on_result(p->id, {ledger::Outcome::applied, ++revision, {}}, now);
   }
--- a/tests/scheduler/ledger_pages_test.cpp
+++ b/tests/scheduler/ledger_pages_test.cpp
@@ -29,7 +29,7 @@
       EXPECT_NO_THROW(m.put(key, v, ++version)) << key << " = " << v;
   EXPECT_EQ(m.leader(), "");
   EXPECT_TRUE(m.types().empty());
-  EXPECT_FALSE(m.answer("x"));
+  EXPECT_FALSE(m.job_progress("x"));
   MachineType type;
   type.name = "box";
   type.size = {16, 4, 64};
@@ -71,8 +71,8 @@
   finished.status = ledger::JobStatus::cancelled;
   m.put("rd/j/wk-000001", ledger::encode(finished), 9);
   m.put("rd/j/wk-000001", ledger::encode(row), 5);
-  ASSERT_TRUE(m.answer("wk-000001"));
-  EXPECT_EQ(m.answer("wk-000001")->status, ledger::JobStatus::cancelled);
+  ASSERT_TRUE(m.job_progress("wk-000001"));
+  EXPECT_EQ(m.job_progress("wk-000001")->status, ledger::JobStatus::cancelled);
   m.put("rd/leader", {{"label", "n1"}}, 10);
   EXPECT_EQ(m.leader(), "n1");
   m.erase("rd/leader", 8);  // an older deletion
@@ -81,8 +81,8 @@
   m.put("rd/j/wk-000001", ledger::encode(finished), 9);
   m.end_reload();
   EXPECT_EQ(m.leader(), "");
-  EXPECT_TRUE(m.answer("wk-000001"));
-  EXPECT_FALSE(m.answer("wk-000002"));
+  EXPECT_TRUE(m.job_progress("wk-000001"));
+  EXPECT_FALSE(m.job_progress("wk-000002"));
 }
 
 // A page that names what its job does not have: that much of it is passed over, the rest counts.
@@ -94,7 +94,7 @@
           ["wk-000001",2,4,[],[[6,2,"m-1",1],[7,3,"m-2",1],[99999,3,"m-2",1]]],
           ["wk-000001",9,4,[],[[2,3,"m-2",1]]]]})"),
         4);
-  EXPECT_LE(m.answer("wk-000001")->done, 7u);
+  EXPECT_LE(m.job_progress("wk-000001")->done, 7u);
   Settings settings;
   settings.teams = {{"t", 0, 0, 0, 0}};
   MachineType type;
@@ -149,7 +149,7 @@
   while (const auto p = scheduler.next_transaction(1)) {
     const std::string key = p->txn.changes.at(0).key;
     EXPECT_NE(key, "rd/t/0");
-    if (key.rfind(ledger::kTaskPrefix, 0) != 0) continue;
+    if (key.rfind(ledger::kPagePrefix, 0) != 0) continue;
     written = true;
     for (const auto& entry : p->txn.changes.at(0).value.at("e"))
       EXPECT_EQ(entry.at(0), "wk-000002") << "the other job's tasks may run already";
@@ -165,8 +165,8 @@
   m.put("rd/j/wk-000002", open_job_row(), 4);
   const auto of_unreadable = nlohmann::json::parse(R"(["wk-000001",0,2,[1,1],[[0,2,"m-9",1]]])");
   m.put("rd/t/0", {{"w", "x"}, {"e", nlohmann::json::array({of_unreadable})}}, 5);
-  EXPECT_TRUE(m.unreadable("wk-000001"));
-  EXPECT_FALSE(m.unreadable("wk-000002"));
+  EXPECT_TRUE(m.is_unreadable("wk-000001"));
+  EXPECT_FALSE(m.is_unreadable("wk-000002"));
   Scheduler scheduler = leader_of(m);
   bool written = false;
   while (const auto p = scheduler.next_transaction(1)) {
--- a/tests/scheduler/ledger_rows_test.cpp
+++ b/tests/scheduler/ledger_rows_test.cpp
@@ -48,7 +48,7 @@
     page.entries.push_back(std::move(e));
   }
   const size_t real = ledger::encode(page).dump().size();
-  EXPECT_LE(real, size + (8192 - ledger::page_room(8192)));
+  EXPECT_LE(real, size + (8192 - ledger::page_capacity(8192)));
   EXPECT_GE(real, size * 8 / 10) << "the estimate wastes room";
   const auto back = ledger::decode_page(ledger::encode(page));
   ASSERT_TRUE(back);
@@ -62,7 +62,8 @@
   for (const size_t bytes : {1024u, 8192u, 65536u}) {
     const uint32_t per = ledger::tasks_per_chunk(bytes);
     EXPECT_GE(per, 8u);
-    EXPECT_LE(ledger::chunk_reserve("wk-000000000000000001", per), ledger::page_room(bytes));
+    EXPECT_LE(ledger::estimated_chunk_size("wk-000000000000000001", per),
+              ledger::page_capacity(bytes));
   }
 }
 
--- a/tests/scheduler/lowered_limits_test.cpp
+++ b/tests/scheduler/lowered_limits_test.cpp
@@ -118,7 +118,7 @@
   // The next write of a page; what else is to be written is written.
   std::optional<PendingTransaction> page_write(double now) {
     while (auto p = scheduler->next_transaction(now)) {
-      if (p->txn.changes.at(0).key.rfind(ledger::kTaskPrefix, 0) == 0) return p;
+      if (p->txn.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
       scheduler->on_result(p->id, {Outcome::applied, ++revision, {}}, now);
     }
     return std::nullopt;
@@ -139,7 +139,7 @@
     for (const auto& c : p.txn.changes) {
       written.push_back(c.key);
       rows[c.key] = {c.value, revision};
-      if (c.key.rfind(ledger::kTaskPrefix, 0) != 0) continue;
+      if (c.key.rfind(ledger::kPagePrefix, 0) != 0) continue;
       for (const json& entry : c.value.at("e"))
         for (const Task& task : tasks_of(entry)) rewritten.insert(task);
     }
@@ -250,7 +250,7 @@
     scheduler->round(1);
     while (auto p = scheduler->next_transaction(1)) {
       const auto& change = p->txn.changes.at(0);
-      const bool is_page = change.key.rfind(ledger::kTaskPrefix, 0) == 0;
+      const bool is_page = change.key.rfind(ledger::kPagePrefix, 0) == 0;
       EXPECT_TRUE(!is_page || change.key == ledger::page_key(0) ||
                   ledger::value_size(change.value) <= 2048);
       scheduler->on_result(p->id, {Outcome::applied, ++revision, {}}, 1);
--- a/tests/scheduler/scheduler_guards_fixture.h
+++ b/tests/scheduler/scheduler_guards_fixture.h
@@ -42,7 +42,7 @@
   // The next write of a page; what else is to be written is written.
   std::optional<PendingTransaction> page_write(double now) {
     while (auto p = scheduler.next_transaction(now)) {
-      if (p->txn.changes.at(0).key.rfind(ledger::kTaskPrefix, 0) == 0) return p;
+      if (p->txn.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
       apply(*p, now);
     }
     return std::nullopt;
--- a/tests/scheduler/transactions_test.cpp
+++ b/tests/scheduler/transactions_test.cpp
@@ -98,7 +98,7 @@
     std::vector<std::string> out;
     while (auto p = scheduler.next_transaction(now)) {
       const auto& change = p->txn.changes.at(0);
-      if (change.key.rfind(ledger::kTaskPrefix, 0) == 0)
+      if (change.key.rfind(ledger::kPagePrefix, 0) == 0)
         out.push_back(change.value.at("e").at(0).at(0).get<std::string>());
       scheduler.on_result(p->id, {Outcome::applied, ++revision, {}}, now);
     }
--- a/tests/simulation/controller_requests.cpp
+++ b/tests/simulation/controller_requests.cpp
@@ -65,7 +65,7 @@
 // ---- users
 
 std::string SimController::status_of(const std::string& id) const {
-  const auto answer = ledger_cache_.answer(id);
+  const auto answer = ledger_cache_.job_progress(id);
   if (!answer) return "404";
   if (answer->status == ledger::JobStatus::done) return "done";
   if (answer->status == ledger::JobStatus::cancelled) return "aborted";
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -257,7 +257,7 @@
 }
 
 TEST(Wire, BytesOfAnswersToUsers) {
-  JobAnswer answer;
+  JobProgress answer;
   answer.done = 3;
   expect_bytes(job_answer("wk-000001", answer, false),
                R"({"id":"wk-000001","standing":"pending"})");
