--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -111,7 +111,7 @@
     return ledger_writer_.next_transaction(now, max_changes);
   }
   // Rows that are to be written and transactions in flight.
-  size_t unsent() const { return ledger_writer_.unsent(); }
+  size_t unsent() const { return ledger_writer_.pending_writes(); }
   void on_result(uint64_t id, const ledger::Result& result, double now);
 
   std::optional<RentalRequest> next_rental_request(double now) {
