--- a/src/daemon/cancellation_gate.cpp
+++ b/src/daemon/cancellation_gate.cpp
@@ -5,47 +5,48 @@
 
 namespace rookdyke {
 
-void CancellationGate::leader_has_read(uint64_t revision) {
-  known_.read_to(revision);
-  changed_.notify_all();
+void CancellationGate::on_leader_read(uint64_t revision) {
+  known_cancellations_.read_to(revision);
+  state_changed_.notify_all();
 }
 
 bool CancellationGate::wait_until_known(Lock& lock, const std::string& job, uint64_t version,
-                                        uint64_t leader, double timeout_s,
-                                        const std::function<bool()>& hopeless) {
+                                        uint64_t leader_token, double timeout_s,
+                                        const std::function<bool()>& ledger_unavailable) {
   Notification& notification = notifications_[job];
-  if (notification.waiting++ == 0) notification.tried = false;
-  notification.leader = std::max(notification.leader, leader);
-  notifier_.notify_one();
-  const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(timeout_s);
+  if (notification.waiters++ == 0) notification.finished = false;
+  notification.leader_token = std::max(notification.leader_token, leader_token);
+  notifier_wakeup_.notify_one();
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::duration<double>(timeout_s);
   // After a failed notification the ledger may still show how far the leader has read.
-  changed_.wait_until(lock, until, [&] {
-    return stopped_ || known_.has(job, version) || (notifications_.at(job).tried && hopeless());
+  state_changed_.wait_until(lock, deadline, [&] {
+    return stopped_ || known_cancellations_.has(job, version) ||
+           (notifications_.at(job).finished && ledger_unavailable());
   });
-  if (--notifications_.at(job).waiting == 0) notifications_.erase(job);
-  return known_.has(job, version);
+  if (--notifications_.at(job).waiters == 0) notifications_.erase(job);
+  return known_cancellations_.has(job, version);
 }
 
 void CancellationGate::stop() {
   stopped_ = true;
-  notifier_.notify_all();
-  changed_.notify_all();
+  notifier_wakeup_.notify_all();
+  state_changed_.notify_all();
 }
 
 std::vector<CancellationGate::Pending> CancellationGate::pending() const {
   std::vector<Pending> out;
   for (const auto& [job, notification] : notifications_)
-    if (!notification.tried) out.push_back({job, notification.leader});
+    if (!notification.finished) out.push_back({job, notification.leader_token});
   return out;
 }
 
-void CancellationGate::set_tried(const std::string& job) {
-  if (auto it = notifications_.find(job); it != notifications_.end()) it->second.tried = true;
+void CancellationGate::mark_notification_finished(const std::string& job) {
+  if (auto it = notifications_.find(job); it != notifications_.end()) it->second.finished = true;
 }
 
 void CancellationGate::wait_for_pending(Lock& lock, double longest_s) {
   if (!stopped_)
-    notifier_.wait_for(lock, std::chrono::duration<double>(std::max(0.001, longest_s)));
+    notifier_wakeup_.wait_for(lock, std::chrono::duration<double>(std::max(0.001, longest_s)));
 }
 
 }  // namespace rookdyke
--- a/src/daemon/cancellation_notifier.cpp
+++ b/src/daemon/cancellation_notifier.cpp
@@ -9,15 +9,15 @@
 namespace rookdyke {
 
 namespace {
-constexpr double kStateTimeoutS = 0.8;
-constexpr double kPublishWaitS = 0.5;  // for the budget of changes
+constexpr double kStateServiceTimeoutS = 0.8;
+constexpr double kPublishRateLimitWaitS = 0.5;  // longest wait for the rate limits
 constexpr double kIdleIntervalS = 0.6;
 constexpr size_t kMaxRowsPerMessage = 256;
 }  // namespace
 
 CancellationNotifier::CancellationNotifier(const Config& config, SharedState& shared,
                                            state::RateLimiters& limiters, TransactionIds& ids)
-    : shared_(shared), ids_(ids), client_(config.state, limiters, kStateTimeoutS) {
+    : shared_(shared), ids_(ids), client_(config.state, limiters, kStateServiceTimeoutS) {
   for (const Sibling& sibling : config.siblings)
     peers_[sibling.label] = std::make_unique<mesh::Peer>(sibling);
 }
@@ -27,20 +27,20 @@
     std::visit([this](const auto& work) { perform(work); }, wait_for_work());
 }
 
-// All under one lock, so that no wakeup between the looks and the wait is lost.
+// Checks for work and waits under one lock, so that no wakeup in between is lost.
 CancellationNotifier::Work CancellationNotifier::wait_for_work() {
   auto state = shared_.lock();
   if (state->must_publish_read_to(steady_now()) && state->may_decide(steady_now()))
-    return publication(*state);
+    return read_to_publication(*state);
   Notification notification = next_notification(*state);
   if (!notification.message.rows.empty()) return notification;
-  state->cancellation_gate().wake_waiting();
+  state->cancellation_gate().wake_waiters();
   state->cancellation_gate().wait_for_pending(state.mutex_lock(), kIdleIntervalS);
   return std::monostate{};
 }
 
-// The row by which siblings learn how far this leader has read.
-ledger::Transaction CancellationNotifier::publication(ControllerState& state) {
+// The transaction that shows peer controllers, by a row, how far this leader has read the ledger.
+ledger::Transaction CancellationNotifier::read_to_publication(ControllerState& state) {
   state.on_read_to_published(steady_now());
   ledger::Transaction transaction;
   transaction.transaction_id = ids_.next();
@@ -50,8 +50,8 @@
   return transaction;
 }
 
-// The pending cancellations that the leader of the ledger can be notified of. The others are marked
-// as tried.
+// The pending cancellations that can be sent to the leader named in the ledger cache. The
+// notifications of the others are marked as finished.
 CancellationNotifier::Notification CancellationNotifier::next_notification(ControllerState& state) {
   const LedgerCache& ledger = state.ledger_cache();
   CancellationGate& gate = state.cancellation_gate();
@@ -63,12 +63,13 @@
   for (const CancellationGate::Pending& pending : gate.pending()) {
     if (message.rows.size() >= kMaxRowsPerMessage) break;
     const CachedJob* job = ledger.job(pending.job);
-    // Whom to notify follows from a ledger cache that has the row: an older one may name a leader
-    // whose term was over when the row was written.
-    const bool leader_known = pending.leader > 0 ? pending.leader <= message.fencing_token
-                                                 : job && state.ledger_revision() >= job->version;
+    // The ledger cache has to be as recent as the row: an older one may name a leader whose term
+    // ended before the row was written.
+    const bool leader_known = pending.leader_token > 0
+                                  ? pending.leader_token <= message.fencing_token
+                                  : job && state.ledger_revision() >= job->version;
     if (!job || !leader_known || !reachable) {
-      gate.set_tried(pending.job);
+      gate.mark_notification_finished(pending.job);
       continue;
     }
     message.rows.push_back({pending.job, ledger::encode(job->row), job->version});
@@ -79,28 +80,29 @@
 void CancellationNotifier::perform(std::monostate /*none*/) {}
 
 void CancellationNotifier::perform(const ledger::Transaction& publication) {
-  client_.commit(publication, kPublishWaitS);  // refused or unanswered: the next one says more
+  // The outcome is ignored: the next publication supersedes one that failed.
+  client_.commit(publication, kPublishRateLimitWaitS);
 }
 
 void CancellationNotifier::perform(const Notification& notification) {
   const mesh::Cancelled& message = notification.message;
-  const std::optional<uint64_t> answered_token =
+  const std::optional<uint64_t> reply_token =
       peers_.at(notification.leader)->send_cancellations(message);
   auto state = shared_.lock();
   CancellationGate& gate = state->cancellation_gate();
-  // An older leader's acknowledgement counts for nothing; a newer one has loaded what was written
-  // before.
-  const bool acknowledged = answered_token && *answered_token >= message.fencing_token;
+  // The acknowledgement of an older leader proves nothing. A newer leader has loaded the rows that
+  // were written before its term.
+  const bool acknowledged = reply_token && *reply_token >= message.fencing_token;
   if (acknowledged)
-    state->learn_token(*answered_token);
+    state->learn_token(*reply_token);
   else
     spdlog::info("cancellations of {} jobs: not acknowledged by {}", message.rows.size(),
                  notification.leader);
   for (const mesh::Cancelled::Row& row : message.rows) {
     if (acknowledged) gate.acknowledge(row.job, row.version);
-    gate.set_tried(row.job);
+    gate.mark_notification_finished(row.job);
   }
-  gate.wake_waiting();
+  gate.wake_waiters();
 }
 
 }  // namespace rookdyke
--- a/src/daemon/cancellation_notifier.h
+++ b/src/daemon/cancellation_notifier.h
@@ -1,7 +1,7 @@
 #pragma once
-// Notifies the leader of cancelled jobs whose users wait to hear of it (CancellationGate), and, as
-// the leader, publishes in the ledger how far it has read where the mesh does not reach all
-// siblings.
+// Notifies the leader of cancelled jobs whose users wait for a confirmation (CancellationGate). On
+// the leader, publishes in the ledger how far it has read, for peer controllers that it does not
+// reach directly.
 
 #include <cstdint>
 #include <map>
@@ -28,14 +28,14 @@
 
  private:
   struct Notification {
-    std::string leader;
+    std::string leader;  // label
     mesh::Cancelled message;
   };
-  // std::monostate: nothing, after a wait for something.
+  // std::monostate: nothing to do, returned after a wait.
   using Work = std::variant<std::monostate, ledger::Transaction, Notification>;
 
   Work wait_for_work();
-  ledger::Transaction publication(ControllerState& state);
+  ledger::Transaction read_to_publication(ControllerState& state);
   Notification next_notification(ControllerState& state);
 
   void perform(std::monostate none);
--- a/src/daemon/cloud_reconciler.cpp
+++ b/src/daemon/cloud_reconciler.cpp
@@ -11,12 +11,13 @@
 
 constexpr double kTypesIntervalS = 20;
 constexpr double kTypesRetryS = 0.7;
-constexpr double kTypesWriteWaitS = 1;  // for the budget of changes
-// Machine lists are read a little more often than the cloud's list lags.
+constexpr double kTypesRateLimitWaitS = 1;  // longest wait for the rate limits
+// The interval between machine lists, as a share of the time by which the cloud's list lags.
 constexpr double kListLagFactor = 0.7;
 constexpr double kShortestListIntervalS = 2;
-// Waits while there is nothing to ask for: without the right to, and with it.
+// Wait of a follower, and of an unconfirmed leader that has no machine to return.
 constexpr double kPassiveIntervalS = 0.7;
+// Bounds of a leader's wait when no request is due.
 constexpr double kIdleIntervalS = 0.5;
 constexpr double kShortestIdleIntervalS = 0.05;
 
@@ -38,7 +39,8 @@
   }
 }
 
-// A wait is over when this returns: it is made under the lock under which there was nothing to do.
+// Returns the next action. If that is a Wait, waits first, under the lock under which no request
+// was due, so that no wakeup is lost.
 CloudReconciler::Work CloudReconciler::wait_for_work() {
   auto state = shared_.lock();
   Work work{.action = next_action(*state, steady_now()), .fencing_token = state->fencing_token()};
@@ -49,7 +51,7 @@
 
 CloudReconciler::Action CloudReconciler::next_action(ControllerState& state, double now) {
   const bool may_decide = state.may_decide(now);
-  if ((may_decide || !state.machine_types_known()) && now >= next_types_) {
+  if ((may_decide || !state.machine_types_known()) && now >= next_types_fetch_at_) {
     const bool in_ledger = !state.ledger_cache().types().empty();
     return FetchTypes{.store_in_ledger = may_decide && !in_ledger};
   }
@@ -60,8 +62,8 @@
     return ReturnMachines{std::move(names)};
   if (unconfirmed) return Wait{kPassiveIntervalS};
   if (auto request = scheduler.next_rental_request(now)) return RentMachines{std::move(*request)};
-  if (now >= next_list_) return ListMachines{};
-  return Wait{std::clamp(next_list_ - now, kShortestIdleIntervalS, kIdleIntervalS)};
+  if (now >= next_list_at_) return ListMachines{};
+  return Wait{std::clamp(next_list_at_ - now, kShortestIdleIntervalS, kIdleIntervalS)};
 }
 
 void CloudReconciler::perform(const Wait& /*action*/, uint64_t /*fencing_token*/) {}
@@ -71,7 +73,7 @@
   bool store = false;
   {
     auto state = shared_.lock();
-    next_types_ = steady_now() + (types ? kTypesIntervalS : kTypesRetryS);
+    next_types_fetch_at_ = steady_now() + (types ? kTypesIntervalS : kTypesRetryS);
     if (!types) return;
     if (Scheduler* scheduler = state->scheduler_of_term(fencing_token))
       scheduler->set_prices(*types);
@@ -82,12 +84,13 @@
   if (store) store_types(*types, fencing_token);
 }
 
-// If there are none. Without an outcome: whoever leads next writes them.
+// Writes the types to the ledger unless it holds some already. The outcome is ignored: after a
+// failure the leader writes them with a later fetch.
 void CloudReconciler::store_types(const std::vector<MachineType>& types, uint64_t fencing_token) {
   ledger::Transaction transaction;
   transaction.conditions = {{ledger::kLeaderKey, fencing_token}, {ledger::kTypesKey, 0}};
   transaction.changes = {{ledger::kTypesKey, false, ledger::encode_types(types), 0}};
-  state_client_.commit(transaction, kTypesWriteWaitS);
+  state_client_.commit(transaction, kTypesRateLimitWaitS);
 }
 
 void CloudReconciler::perform(const ReturnMachines& action, uint64_t fencing_token) {
@@ -106,12 +109,12 @@
 }
 
 void CloudReconciler::perform(const ListMachines& /*action*/, uint64_t fencing_token) {
-  const double asked = steady_now();
+  const double requested_at = steady_now();
   const auto list = cloud_.list();
   auto state = shared_.lock();
-  next_list_ = steady_now() + list_interval_s_;
+  next_list_at_ = steady_now() + list_interval_s_;
   Scheduler* scheduler = state->scheduler_of_term(fencing_token);
-  if (list && scheduler) scheduler->on_machine_list(*list, asked, steady_now());
+  if (list && scheduler) scheduler->on_machine_list(*list, requested_at, steady_now());
 }
 
 cloud::Client::MaySend CloudReconciler::may_send(uint64_t fencing_token) {
--- a/src/daemon/cloud_reconciler.h
+++ b/src/daemon/cloud_reconciler.h
@@ -1,7 +1,7 @@
 #pragma once
-// Brings the cloud's machines in line with what the scheduler wants: reads machine types and
-// prices, returns and rents machines, and reads the list of those that there are. Results go to
-// the scheduler of the same term.
+// Applies the scheduler's decisions on machines in the cloud: fetches machine types and prices,
+// returns and rents machines, and lists the rented ones. Results go to the scheduler only if the
+// term in which a request was decided still runs.
 
 #include <cstdint>
 #include <string>
@@ -26,12 +26,12 @@
   void run();
 
  private:
-  // What to do next: a request to the cloud, or nothing for a while.
+  // The possible next steps: a request to the cloud, or a wait.
   struct Wait {
     double longest_s = 0;
   };
   struct FetchTypes {
-    bool store_in_ledger = false;  // leads, and the ledger has none yet
+    bool store_in_ledger = false;  // as leader, while the ledger holds no types
   };
   struct ReturnMachines {
     std::vector<std::string> names;
@@ -43,7 +43,7 @@
   using Action = std::variant<Wait, FetchTypes, ReturnMachines, RentMachines, ListMachines>;
   struct Work {
     Action action;
-    uint64_t fencing_token = 0;  // of the term that it belongs to; 0: none
+    uint64_t fencing_token = 0;  // of the term in which it was decided; 0: not the leader
   };
 
   Work wait_for_work();
@@ -55,15 +55,15 @@
   void perform(const RentMachines& action, uint64_t fencing_token);
   void perform(const ListMachines& action, uint64_t fencing_token);
   void store_types(const std::vector<MachineType>& types, uint64_t fencing_token);
-  // Whether the term of that token still holds, asked right before a request goes out.
+  // A check, made right before a request is sent, that the term of this token is still confirmed.
   cloud::Client::MaySend may_send(uint64_t fencing_token);
 
   SharedState& shared_;
   cloud::Client cloud_;
   state::Client state_client_;
   const double list_interval_s_;
-  double next_list_ = 0;
-  double next_types_ = 0;
+  double next_list_at_ = 0;  // steady_now()
+  double next_types_fetch_at_ = 0;
 };
 
 }  // namespace rookdyke
--- a/src/daemon/command_dispatcher.cpp
+++ b/src/daemon/command_dispatcher.cpp
@@ -27,7 +27,7 @@
   int port = 0;
 };
 
-// Empty: no address to send to.
+// Parses "host:port"; empty if there is no valid port.
 std::optional<WorkerAddress> parse_address(const std::string& address) {
   const size_t colon = address.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
@@ -45,7 +45,7 @@
   }
 }
 
-// The next command; empty after a wait for one.
+// The next command; empty if there was none and the function has waited instead.
 std::optional<CommandDispatcher::Work> CommandDispatcher::wait_for_work() {
   auto state = shared_.lock();
   std::optional<DirectCommand> command;
@@ -60,28 +60,28 @@
 
 CommandDispatcher::Result CommandDispatcher::send(const Work& work) {
   const auto address = parse_address(work.command.addr);
-  if (!address) return {.answered = true, .sent = true, .heartbeat = std::nullopt};
+  if (!address) return {.outcome_known = true, .sent = true, .heartbeat = std::nullopt};
   httplib::Client http(address->host, address->port);
   http.set_tcp_nodelay(true);
   http.set_connection_timeout(kConnectTimeout);
   http.set_read_timeout(kTransferTimeout);
   http.set_write_timeout(kTransferTimeout);
   const std::string body = wire::pack(wire::direct_command(work.fencing_token, work.command));
-  // Right before it goes out: this process may have been suspended, or have stepped down.
+  // Checked right before sending: this process may have been suspended or have stepped down.
   if (!shared_.term_confirmed(work.fencing_token))
-    return {.answered = true, .sent = false, .heartbeat = std::nullopt};
+    return {.outcome_known = true, .sent = false, .heartbeat = std::nullopt};
   const auto response = http.Post(wire::kDirectCommandPath, body, "application/msgpack");
   Result result;
   if (response) {
-    // 409 and 400: nothing was executed, and nothing will be.
-    result.answered =
+    // With 409 and 400 the worker refuses the command and will not execute it later.
+    result.outcome_known =
         response->status == kOk || response->status == kConflict || response->status == kBadRequest;
-    if (const auto answer = wire::unpack(response->body))
-      result.heartbeat = wire::parse_heartbeat(*answer);
+    if (const auto message = wire::unpack(response->body))
+      result.heartbeat = wire::parse_heartbeat(*message);
   } else {
-    // A connection that was given up does not complete afterwards: nothing was sent.
-    result.answered = response.error() == httplib::Error::Connection ||
-                      response.error() == httplib::Error::ConnectionTimeout;
+    // Without a connection nothing was sent, and one that timed out is not established later.
+    result.outcome_known = response.error() == httplib::Error::Connection ||
+                           response.error() == httplib::Error::ConnectionTimeout;
     spdlog::debug("direct commands to {}: {}", work.command.addr,
                   httplib::to_string(response.error()));
   }
@@ -92,7 +92,7 @@
   auto state = shared_.lock();
   Scheduler* scheduler = state->scheduler_of_term(work.fencing_token);
   if (!scheduler) return;
-  scheduler->on_direct_command_result(work.command, result.answered, result.heartbeat,
+  scheduler->on_direct_command_result(work.command, result.outcome_known, result.heartbeat,
                                       steady_now());
   if (result.sent && scheduler->needs_round()) shared_.wakeups().scheduling.notify_one();
 }
--- a/src/daemon/command_dispatcher.h
+++ b/src/daemon/command_dispatcher.h
@@ -1,6 +1,7 @@
 #pragma once
-// Sends the scheduler's direct commands to workers: those that do not wait for the worker's next
-// heartbeat. Reports their results to the scheduler of the same term.
+// Sends the scheduler's direct commands to workers: commands sent on a connection of the leader's
+// own instead of in a heartbeat reply. Reports their results to the scheduler if the term still
+// runs.
 
 #include <cstdint>
 #include <optional>
@@ -11,7 +12,7 @@
 
 class CommandDispatcher {
  public:
-  // Must outlive this object.
+  // `shared` must outlive this object.
   explicit CommandDispatcher(SharedState& shared) : shared_(shared) {}
 
   // The loop of each of its threads; returns after SharedState::stop. Thread-safe.
@@ -20,12 +21,13 @@
  private:
   struct Work {
     DirectCommand command;
-    uint64_t fencing_token = 0;  // of the term that it belongs to
+    uint64_t fencing_token = 0;  // of the term in which the command was issued
   };
   struct Result {
-    bool answered = false;  // executed or refused: nothing of it will be executed later
-    bool sent = true;       // false: withheld, because the term may be over
-    std::optional<Heartbeat> heartbeat;
+    // The worker executed or refused the command, or never received it: it is not executed later.
+    bool outcome_known = false;
+    bool sent = true;                    // false: withheld because the term is no longer confirmed
+    std::optional<Heartbeat> heartbeat;  // the worker's state, if the response carries it
   };
 
   std::optional<Work> wait_for_work();
--- a/src/daemon/controller_state.cpp
+++ b/src/daemon/controller_state.cpp
@@ -206,7 +206,7 @@
 
 bool ControllerState::is_isolated(double now) const {
   return !config_.siblings.empty() && now - sibling_heard_at_ > kIsolatedAfterS &&
-         now - reachability_.state_answered_at() > kIsolatedAfterS;
+         now - reachability_.last_state_service_response_at() > kIsolatedAfterS;
 }
 
 void ControllerState::learn_image_locations(const nlohmann::json& locations,
--- a/src/daemon/health_endpoint.h
+++ b/src/daemon/health_endpoint.h
@@ -1,5 +1,5 @@
 #pragma once
-// Answers the platform's health checks.
+// Serves the platform's health checks.
 
 #include <httplib.h>
 
@@ -10,7 +10,7 @@
 // Thread-safe and lock-free.
 class HealthEndpoint {
  public:
-  // Must outlive this object.
+  // `reachability` must outlive this object.
   explicit HealthEndpoint(const Reachability& reachability) : reachability_(reachability) {}
 
   void serve(httplib::Response& response) const;
--- a/src/daemon/heartbeat_endpoint.h
+++ b/src/daemon/heartbeat_endpoint.h
@@ -1,5 +1,6 @@
 #pragma once
-// Answers the workers' heartbeats: as leader with its commands, else with where to find the leader.
+// Serves the workers' heartbeats: the leader replies with its commands, the other controllers
+// redirect the worker to the leader.
 
 #include <httplib.h>
 
@@ -23,20 +24,20 @@
   void serve(const httplib::Request& request, httplib::Response& response);
 
  private:
-  struct Answer {
-    int status = 0;
+  struct Reply {
+    int status = 0;  // HTTP
     nlohmann::json body;
   };
 
-  struct LeaderAnswer {
-    Answer answer;
-    bool needs_round = false;  // the scheduler is to look soon at what the heartbeat told
+  struct LeaderReply {
+    Reply reply;
+    bool needs_round = false;  // the heartbeat calls for a scheduling round soon
   };
 
-  Answer answer(const Heartbeat& heartbeat);
-  static std::optional<Answer> refusal(ControllerState& state, double now);
-  static std::optional<LeaderAnswer> lead(ControllerState& state, const Heartbeat& heartbeat,
-                                          double now);
+  Reply process(const Heartbeat& heartbeat);
+  static std::optional<Reply> refusal(ControllerState& state, double now);
+  static std::optional<LeaderReply> reply_as_leader(ControllerState& state,
+                                                    const Heartbeat& heartbeat, double now);
   std::string leader_for_redirect(const ControllerState& state, double now) const;
 
   const Config& config_;
--- a/src/daemon/leader_election.cpp
+++ b/src/daemon/leader_election.cpp
@@ -59,7 +59,8 @@
   state->end_cooldown_if_over(now);
   View seen;
   seen.role = state->role();
-  const bool fresh = now - reachability_.state_answered_at() < 2 * config_.follower_watch_s + 1;
+  const bool fresh =
+      now - reachability_.last_state_service_response_at() < 2 * config_.follower_watch_s + 1;
   seen.vacant = reachability_.ledger_loaded() && state->ledger_cache().leader().empty() && fresh;
   seen.types_known = state->machine_types_known();
   return seen;
--- a/src/daemon/ledger_watcher.cpp
+++ b/src/daemon/ledger_watcher.cpp
@@ -136,7 +136,7 @@
   const double now = steady_now();
   revision_ = std::max(revision_, changes.revision);
   state->set_ledger_revision(revision_);
-  reachability_.on_state_answer(now);
+  reachability_.on_state_service_response(now);
   reachability_.on_ledger_loaded();
   const LedgerCache& ledger = state->ledger_cache();
   if (!ledger.leader().empty()) state->learn_leader(ledger.leader_version(), ledger.leader());
@@ -146,8 +146,8 @@
   if (state->leads() && ledger.leader_version() > state->fencing_token())
     state->step_down(Role::follower, "the leader key is another's");
   CancellationGate& gate = state->cancellation_gate();
-  if (state->leads()) gate.leader_has_read(revision_);
-  gate.leader_has_read(ledger.read_to());
+  if (state->leads()) gate.on_leader_read(revision_);
+  gate.on_leader_read(ledger.read_to());
   if (state->must_publish_read_to(now)) gate.wake_notifier();
   if (!state->leads() && ledger.leader().empty()) shared_.wakeups().election.notify_all();
 }
--- a/src/daemon/mesh_endpoint.cpp
+++ b/src/daemon/mesh_endpoint.cpp
@@ -16,8 +16,8 @@
   const bool post = request.method == "POST";
   if (post && request.target == mesh::kCancelledPath) {
     const auto cancelled = mesh::decode_cancelled(request.body);
-    const nlohmann::json answer = {{"token", cancelled ? on_cancelled(*cancelled) : 0}};
-    response.set_content(answer.dump(), kContentType);
+    const nlohmann::json reply = {{"token", cancelled ? apply_cancellations(*cancelled) : 0}};
+    response.set_content(reply.dump(), kContentType);
   } else if (post && request.target == mesh::kViewPath) {
     if (const auto view = mesh::decode(request.body)) peers_.on_view(*view);
     response.set_content(mesh::serialize(peers_.view()), kContentType);
@@ -26,12 +26,13 @@
   }
 }
 
-// Rows of cancelled jobs. Returns the fencing token under which their tasks will be stopped; 0 if
-// that cannot be promised.
-uint64_t MeshEndpoint::on_cancelled(const mesh::Cancelled& cancelled) {
+// Applies rows of cancelled jobs. Returns the fencing token of the term in which their tasks will
+// be stopped, or 0 if this controller has no confirmed lease as leader or a row is not that of a
+// cancelled job.
+uint64_t MeshEndpoint::apply_cancellations(const mesh::Cancelled& cancelled) {
   auto state = shared_.lock();
   if (state->leads() && cancelled.fencing_token > state->fencing_token())
-    state->step_down(Role::follower, "a sibling knows a newer leader");
+    state->step_down(Role::follower, "a peer controller knows a newer leader");
   const Scheduler* scheduler = state->scheduler();
   if (!state->leads() || !scheduler || scheduler->has_lost_leadership() ||
       !state->lease_confirmed(steady_now()))
--- a/src/daemon/mesh_endpoint.h
+++ b/src/daemon/mesh_endpoint.h
@@ -1,5 +1,5 @@
 #pragma once
-// Serves the siblings' requests on mesh_addr: views, and notifications of cancellations.
+// Serves the requests of peer controllers on mesh_addr: views and notifications of cancellations.
 
 #include <httplib.h>
 
@@ -12,13 +12,13 @@
 // Thread-safe.
 class MeshEndpoint {
  public:
-  // Both must outlive this object.
+  // Both arguments must outlive this object.
   MeshEndpoint(SharedState& shared, PeerExchange& peers) : shared_(shared), peers_(peers) {}
 
   void serve(const httplib::Request& request, httplib::Response& response);
 
  private:
-  uint64_t on_cancelled(const mesh::Cancelled& cancelled);
+  uint64_t apply_cancellations(const mesh::Cancelled& cancelled);
 
   SharedState& shared_;
   PeerExchange& peers_;
--- a/src/daemon/peer_exchange.cpp
+++ b/src/daemon/peer_exchange.cpp
@@ -7,9 +7,10 @@
 namespace rookdyke {
 
 namespace {
-constexpr double kIntervalS = 1;
+constexpr double kExchangeIntervalS = 1;
 constexpr double kImageLocationsIntervalS = 5;
-constexpr double kStateFreshS = 2.5;  // the state service counts as answering for so long
+// For how long after its last response the state service is reported as available.
+constexpr double kStateServiceFreshnessS = 2.5;
 }  // namespace
 
 PeerExchange::PeerExchange(const Config& config, SharedState& shared, state::RateLimiters& limiters,
@@ -27,47 +28,48 @@
 void PeerExchange::run() {
   while (!shared_.stopping()) {
     const nlohmann::json image_locations = image_locations_if_due();
-    update_demand();
+    update_write_demand();
     for (const auto& peer : peers_) {
       if (shared_.stopping()) return;
       exchange_with(*peer, image_locations);
     }
     auto state = shared_.lock();
-    shared_.wait_for(state, shared_.wakeups().peers, kIntervalS);
+    shared_.wait_for(state, shared_.wakeups().peers, kExchangeIntervalS);
   }
 }
 
-// Those of the leader's scheduler, now and then; null otherwise.
+// The image locations that the leader's scheduler knows, every kImageLocationsIntervalS; null
+// between these times and on the other controllers.
 nlohmann::json PeerExchange::image_locations_if_due() {
   auto state = shared_.lock();
   const double now = steady_now();
-  if (state->role() != Role::leading || !state->scheduler() || now < next_image_locations_)
+  if (state->role() != Role::leading || !state->scheduler() || now < next_image_locations_at_)
     return nullptr;
-  next_image_locations_ = now + kImageLocationsIntervalS;
+  next_image_locations_at_ = now + kImageLocationsIntervalS;
   return state->scheduler()->image_locations();
 }
 
-void PeerExchange::update_demand() {
+void PeerExchange::update_write_demand() {
   auto state = shared_.lock();
   const double now = steady_now();
-  const double asked = limiters_.writes.asked();
+  const double requested_writes = limiters_.writes.asked();
   const Scheduler* scheduler = state->scheduler();
   const double backlog = scheduler && state->leads() ? static_cast<double>(scheduler->unsent()) : 0;
-  state->write_share().record_own(asked, backlog, now);
+  state->write_share().record_own(requested_writes, backlog, now);
   state->update_write_share(now);
 }
 
 void PeerExchange::exchange_with(mesh::Peer& peer, const nlohmann::json& image_locations) {
-  mesh::View ours = view();
-  ours.image_locations = image_locations;
-  const double sent = steady_now();
-  const auto theirs = peer.exchange(ours);
-  if (!theirs) return;
-  on_view(*theirs);
+  mesh::View own_view = view();
+  own_view.image_locations = image_locations;
+  const double sent_at = steady_now();
+  const auto peer_view = peer.exchange(own_view);
+  if (!peer_view) return;
+  on_view(*peer_view);
   auto state = shared_.lock();
-  state->cancellation_staleness().on_sibling_answer(peer.label(), theirs->incarnation,
-                                                    theirs->fencing_token, state->fencing_token(),
-                                                    sent, steady_now());
+  state->cancellation_staleness().on_sibling_answer(peer.label(), peer_view->incarnation,
+                                                    peer_view->fencing_token,
+                                                    state->fencing_token(), sent_at, steady_now());
 }
 
 mesh::View PeerExchange::view() {
@@ -76,7 +78,8 @@
   view.label = config_.scheduler.label;
   view.incarnation = ids_.incarnation();
   view.read_to = state->cancellation_gate().leader_read_to();
-  view.state_ok = steady_now() - reachability_.state_answered_at() < kStateFreshS;
+  view.state_ok =
+      steady_now() - reachability_.last_state_service_response_at() < kStateServiceFreshnessS;
   view.write_demand = state->write_share().own_demand();
   view.rate_lowered = limiters_.sees_lowered_write_rate();
   view.sizes_lowered = state->sizes_lowered();
@@ -89,19 +92,20 @@
   auto state = shared_.lock();
   const double now = steady_now();
   state->on_sibling_heard(now);
-  if (view.state_ok) reachability_.on_sibling_served(now);
+  if (view.state_ok) reachability_.on_peer_reaches_state_service(now);
   state->learn_image_locations(view.image_locations, view.fencing_token);
   state->write_share().record_sibling(view.label, view.write_demand, now);
   if (view.rate_lowered) limiters_.on_sibling_refused();
   if (view.sizes_lowered) state->lower_sizes();
-  // Together with the token below: who relies on what a leader has read knows of that leader.
-  state->cancellation_gate().leader_has_read(view.read_to);
+  // Applied under the same lock as the token below: whoever sees how far a leader has read also
+  // knows that leader's token.
+  state->cancellation_gate().on_leader_read(view.read_to);
   if (!state->learn_leader(view.fencing_token, view.leader)) return;
-  // Invariant 2: a leader that alone is partitioned from the state service learns here that the
-  // others have elected another.
+  // Invariant 2: a leader that is the only controller partitioned from the state service learns
+  // here that its peers have elected another leader.
   if (state->leads() && view.fencing_token > state->fencing_token())
     state->step_down(Role::follower,
-                     view.label + " knows token " + std::to_string(view.fencing_token));
+                     view.label + " knows fencing token " + std::to_string(view.fencing_token));
 }
 
 }  // namespace rookdyke
--- a/src/daemon/peer_exchange.h
+++ b/src/daemon/peer_exchange.h
@@ -1,6 +1,6 @@
 #pragma once
-// Exchanges views with the sibling controllers over the mesh, every second: sends this one's, and
-// takes in theirs, whether they answer or ask.
+// Exchanges views with the peer controllers every second: sends this controller's view, and
+// applies theirs, from their responses as well as from their requests.
 
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -26,12 +26,12 @@
 
   // This controller's view. Thread-safe.
   mesh::View view();
-  // Takes in a sibling's view: a leader steps down if it names a higher fencing token.
+  // Applies a peer controller's view: a leader steps down if the view has a higher fencing token.
   // Thread-safe.
   void on_view(const mesh::View& view);
 
  private:
-  void update_demand();
+  void update_write_demand();
   nlohmann::json image_locations_if_due();
   void exchange_with(mesh::Peer& peer, const nlohmann::json& image_locations);
 
@@ -41,7 +41,7 @@
   Reachability& reachability_;
   const TransactionIds& ids_;
   std::vector<std::unique_ptr<mesh::Peer>> peers_;
-  double next_image_locations_ = 0;
+  double next_image_locations_at_ = 0;  // steady_now()
 };
 
 }  // namespace rookdyke
--- a/src/daemon/reachability.h
+++ b/src/daemon/reachability.h
@@ -1,7 +1,7 @@
 #pragma once
-// When the state service last answered this controller, and its siblings. Lock-free, because health
-// checks are answered from it also while a scheduling round holds the mutex of SharedState.
-// Moments are of steady_now().
+// Records when the state service last responded to this controller and to its peer controllers.
+// Lock-free, so that health checks are answered even while a scheduling round holds the mutex of
+// SharedState. Times are those of steady_now(), in seconds.
 
 #include <atomic>
 
@@ -9,27 +9,30 @@
 
 class Reachability {
  public:
-  // The state service answered this controller.
-  void on_state_answer(double now) { state_answered_at_ = now; }
-  double state_answered_at() const { return state_answered_at_; }
-  // It did so lately.
-  bool state_answers(double now) const { return now - state_answered_at_ < kFreshS; }
-
-  // A sibling said that the state service answers it.
-  void on_sibling_served(double now) { sibling_served_at_ = now; }
-  // One said so lately.
-  bool siblings_are_served(double now) const { return now - sibling_served_at_ < kFreshS; }
-
-  // All rows of the ledger were read, once at least.
+  void on_state_service_response(double now) { last_state_service_response_at_ = now; }
+  double last_state_service_response_at() const { return last_state_service_response_at_; }
+  // Whether the state service has responded to this controller recently.
+  bool state_service_available(double now) const {
+    return now - last_state_service_response_at_ < kFreshnessS;
+  }
+
+  // A peer controller reported that the state service responds to it.
+  void on_peer_reaches_state_service(double now) { last_peer_report_at_ = now; }
+  // Whether a peer controller has reported so recently.
+  bool peers_reach_state_service(double now) const {
+    return now - last_peer_report_at_ < kFreshnessS;
+  }
+
+  // All rows of the ledger were read at least once.
   void on_ledger_loaded() { ledger_loaded_ = true; }
   bool ledger_loaded() const { return ledger_loaded_; }
 
  private:
-  static constexpr double kFreshS = 2;
+  static constexpr double kFreshnessS = 2;
   static constexpr double kNever = -1e9;
 
-  std::atomic<double> state_answered_at_{kNever};
-  std::atomic<double> sibling_served_at_{kNever};
+  std::atomic<double> last_state_service_response_at_{kNever};
+  std::atomic<double> last_peer_report_at_{kNever};
   std::atomic<bool> ledger_loaded_{false};
 };
 
--- a/src/daemon/replica_ledger.cpp
+++ b/src/daemon/replica_ledger.cpp
@@ -46,7 +46,7 @@
 void ReplicaLedger::apply_committed(const wire::Row& row) { shared_.lock()->apply(row); }
 
 bool ReplicaLedger::siblings_are_served() const {
-  return reachability_.siblings_are_served(steady_now());
+  return reachability_.peers_reach_state_service(steady_now());
 }
 
 std::optional<ledger::Result> ReplicaLedger::commit(const ledger::Transaction& transaction,
--- a/src/daemon/transaction_committer.cpp
+++ b/src/daemon/transaction_committer.cpp
@@ -50,7 +50,8 @@
   const ledger::Result result = pending.repeat ? client_.commit_repeated(pending.txn, kCommitWaitS)
                                                : client_.commit(pending.txn, kCommitWaitS);
   auto state = shared_.lock();
-  if (result.outcome == ledger::Outcome::applied) reachability_.on_state_answer(steady_now());
+  if (result.outcome == ledger::Outcome::applied)
+    reachability_.on_state_service_response(steady_now());
   if (Scheduler* scheduler = state->scheduler_of_term(work.fencing_token)) {
     scheduler->on_result(pending.id, result, steady_now());
     if (scheduler->uses_lowered_limits() && !state->sizes_lowered()) {
--- a/tests/cancellation_gate_test.cpp
+++ b/tests/cancellation_gate_test.cpp
@@ -12,47 +12,49 @@
 namespace rookdyke {
 namespace {
 
-constexpr double kLongS = 60;  // far beyond what anything here takes
-constexpr double kShortS = 0.05;
+constexpr double kLongTimeoutS = 60;  // never reached by a passing test
+constexpr double kShortTimeoutS = 0.05;
 constexpr const char* kJob = "wk-000001";
 constexpr uint64_t kVersion = 12;
-constexpr uint64_t kLeader = 7;  // its token
+constexpr uint64_t kLeaderToken = 7;
 
 class CancellationGateTest : public testing::Test {
  protected:
-  // A user's request that waits. `ledger_silent` is read under the mutex.
-  std::future<bool> waiting(uint64_t leader = kLeader, double timeout_s = kLongS) {
-    return std::async(std::launch::async, [this, leader, timeout_s] {
+  // A user request that waits for the confirmation of a cancellation, on a thread of its own. Reads
+  // `ledger_unavailable` under the mutex.
+  std::future<bool> start_request(uint64_t leader_token = kLeaderToken,
+                                  double timeout_s = kLongTimeoutS) {
+    return std::async(std::launch::async, [this, leader_token, timeout_s] {
       CancellationGate::Lock lock(mutex);
-      return gate.wait_until_known(lock, kJob, kVersion, leader, timeout_s,
-                                   [this] { return ledger_silent; });
+      return gate.wait_until_known(lock, kJob, kVersion, leader_token, timeout_s,
+                                   [this] { return ledger_unavailable; });
     });
   }
-  // Until so many cancellations are pending.
-  std::vector<CancellationGate::Pending> pending(size_t count) {
+  // Waits until exactly `count` notifications are pending, and returns them.
+  std::vector<CancellationGate::Pending> wait_for_pending_count(size_t count) {
     CancellationGate::Lock lock(mutex);
-    while (gate.pending().size() != count) gate.wait_for_pending(lock, kShortS);
+    while (gate.pending().size() != count) gate.wait_for_pending(lock, kShortTimeoutS);
     return gate.pending();
   }
-  static bool returned(const std::future<bool>& result) {
+  static bool is_finished(const std::future<bool>& result) {
     return result.wait_for(std::chrono::milliseconds(50)) == std::future_status::ready;
   }
 
   std::mutex mutex;
   CancellationGate gate;
-  bool ledger_silent = false;
+  bool ledger_unavailable = false;
 };
 
-TEST_F(CancellationGateTest, AnAcknowledgementLetsItsRequestGo) {
-  auto result = waiting();
-  const auto asked = pending(1);
-  EXPECT_EQ(asked[0].job, kJob);
-  EXPECT_EQ(asked[0].leader, kLeader);
+TEST_F(CancellationGateTest, AcknowledgementReleasesItsRequest) {
+  auto result = start_request();
+  const auto notifications = wait_for_pending_count(1);
+  EXPECT_EQ(notifications[0].job, kJob);
+  EXPECT_EQ(notifications[0].leader_token, kLeaderToken);
   {
     std::lock_guard lock(mutex);
     gate.acknowledge(kJob, kVersion);
-    gate.set_tried(kJob);
-    gate.wake_waiting();
+    gate.mark_notification_finished(kJob);
+    gate.wake_waiters();
   }
   EXPECT_TRUE(result.get());
   std::lock_guard lock(mutex);
@@ -61,107 +63,107 @@
   EXPECT_TRUE(gate.pending().empty());
 }
 
-TEST_F(CancellationGateTest, ALeaderThatHasReadSoFarLetsItsRequestGo) {
-  auto result = waiting();
-  pending(1);
+TEST_F(CancellationGateTest, LeaderReadOfTheRowReleasesItsRequest) {
+  auto result = start_request();
+  wait_for_pending_count(1);
   {
     std::lock_guard lock(mutex);
-    gate.leader_has_read(kVersion - 1);
+    gate.on_leader_read(kVersion - 1);
   }
-  EXPECT_FALSE(returned(result));
+  EXPECT_FALSE(is_finished(result));
   {
     std::lock_guard lock(mutex);
-    gate.leader_has_read(kVersion);
+    gate.on_leader_read(kVersion);
     EXPECT_EQ(gate.leader_read_to(), kVersion);
   }
   EXPECT_TRUE(result.get());
 }
 
-TEST_F(CancellationGateTest, AnAcknowledgementOfAnOlderRowIsNone) {
-  auto result = waiting();
-  pending(1);
+TEST_F(CancellationGateTest, AcknowledgementOfAnOlderRowIsIgnored) {
+  auto result = start_request();
+  wait_for_pending_count(1);
   {
     std::lock_guard lock(mutex);
     gate.acknowledge(kJob, kVersion - 1);
-    gate.wake_waiting();
+    gate.wake_waiters();
   }
-  EXPECT_FALSE(returned(result));
+  EXPECT_FALSE(is_finished(result));
   {
     std::lock_guard lock(mutex);
-    gate.set_tried(kJob);
-    ledger_silent = true;
-    gate.wake_waiting();
+    gate.mark_notification_finished(kJob);
+    ledger_unavailable = true;
+    gate.wake_waiters();
   }
   EXPECT_FALSE(result.get());
 }
 
 TEST_F(CancellationGateTest, ARequestTimesOutAndLeavesNothingPending) {
   const auto from = std::chrono::steady_clock::now();
-  EXPECT_FALSE(waiting(kLeader, kShortS).get());
+  EXPECT_FALSE(start_request(kLeaderToken, kShortTimeoutS).get());
   EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(50));
-  EXPECT_FALSE(waiting(kLeader, -1).get());
+  EXPECT_FALSE(start_request(kLeaderToken, -1).get());
   std::lock_guard lock(mutex);
   EXPECT_TRUE(gate.pending().empty());
 }
 
-TEST_F(CancellationGateTest, ToldInVainItStillWaitsForWordThroughTheLedger) {
-  auto result = waiting();
-  pending(1);
+TEST_F(CancellationGateTest, FailedNotificationStillWaitsForTheLedger) {
+  auto result = start_request();
+  wait_for_pending_count(1);
   {
     std::lock_guard lock(mutex);
-    gate.set_tried(kJob);
-    gate.wake_waiting();
-    EXPECT_TRUE(gate.pending().empty());  // no second message
+    gate.mark_notification_finished(kJob);
+    gate.wake_waiters();
+    EXPECT_TRUE(gate.pending().empty());  // the message is not repeated
   }
-  EXPECT_FALSE(returned(result));
+  EXPECT_FALSE(is_finished(result));
   {
     std::lock_guard lock(mutex);
-    ledger_silent = true;
-    gate.wake_waiting();
+    ledger_unavailable = true;
+    gate.wake_waiters();
   }
   EXPECT_FALSE(result.get());
 }
 
-TEST_F(CancellationGateTest, ASilentLedgerAloneEndsNoWait) {
-  ledger_silent = true;
-  auto result = waiting();
-  pending(1);
-  EXPECT_FALSE(returned(result));
+TEST_F(CancellationGateTest, UnavailableLedgerAloneDoesNotEndTheWait) {
+  ledger_unavailable = true;
+  auto result = start_request();
+  wait_for_pending_count(1);
+  EXPECT_FALSE(is_finished(result));
   {
     std::lock_guard lock(mutex);
     gate.acknowledge(kJob, kVersion);
-    gate.wake_waiting();
+    gate.wake_waiters();
   }
   EXPECT_TRUE(result.get());
 }
 
 TEST_F(CancellationGateTest, RequestsForOneJobShareItsNotification) {
-  auto first = waiting(0);
-  EXPECT_EQ(pending(1)[0].leader, 0u);
-  auto second = waiting(kLeader);
-  while (pending(1)[0].leader == 0) std::this_thread::yield();
+  auto first = start_request(0);
+  EXPECT_EQ(wait_for_pending_count(1)[0].leader_token, 0u);
+  auto second = start_request(kLeaderToken);
+  while (wait_for_pending_count(1)[0].leader_token == 0) std::this_thread::yield();
   {
     std::lock_guard lock(mutex);
-    EXPECT_EQ(gate.pending()[0].leader, kLeader);  // the highest that any of them knows
+    EXPECT_EQ(gate.pending()[0].leader_token, kLeaderToken);  // the highest token of all requests
     gate.acknowledge(kJob, kVersion);
-    gate.wake_waiting();
+    gate.wake_waiters();
   }
   EXPECT_TRUE(first.get());
   EXPECT_TRUE(second.get());
 }
 
-TEST_F(CancellationGateTest, ALaterRequestHasTheLeaderToldAgain) {
-  auto first = waiting();
-  pending(1);
+TEST_F(CancellationGateTest, LaterRequestNotifiesTheLeaderAgain) {
+  auto first = start_request();
+  wait_for_pending_count(1);
   {
     std::lock_guard lock(mutex);
-    gate.set_tried(kJob);
-    ledger_silent = true;
-    gate.wake_waiting();
+    gate.mark_notification_finished(kJob);
+    ledger_unavailable = true;
+    gate.wake_waiters();
   }
   EXPECT_FALSE(first.get());
-  auto second = waiting();
-  EXPECT_EQ(pending(1)[0].job, kJob);
+  auto second = start_request();
+  EXPECT_EQ(wait_for_pending_count(1)[0].job, kJob);
   {
     std::lock_guard lock(mutex);
     gate.stop();
@@ -170,11 +172,11 @@
 }
 
 TEST_F(CancellationGateTest, StopEndsAllWaits) {
-  auto result = waiting();
-  pending(1);
+  auto result = start_request();
+  wait_for_pending_count(1);
   auto notifier = std::async(std::launch::async, [this] {
     CancellationGate::Lock lock(mutex);
-    gate.wait_for_pending(lock, kLongS);
+    gate.wait_for_pending(lock, kLongTimeoutS);
   });
   {
     std::lock_guard lock(mutex);
@@ -182,9 +184,9 @@
   }
   EXPECT_FALSE(result.get());
   notifier.get();
-  EXPECT_FALSE(waiting().get());
+  EXPECT_FALSE(start_request().get());
   CancellationGate::Lock lock(mutex);
-  gate.wait_for_pending(lock, kLongS);
+  gate.wait_for_pending(lock, kLongTimeoutS);
 }
 
 }  // namespace
