--- a/src/daemon/cancellation_notifier.cpp
+++ b/src/daemon/cancellation_notifier.cpp
@@ -92,7 +92,7 @@
   // before.
   const bool acknowledged = answered_token && *answered_token >= message.fencing_token;
   if (acknowledged)
-    state->learn_token(*answered_token);
+    state->update_known_token(*answered_token);
   else
     spdlog::info("cancellations of {} jobs: not acknowledged by {}", message.rows.size(),
                  notification.leader);
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr size_t kServerThreads = 160;  // requests served at once; users' wait for the ledger
+constexpr size_t kServerThreads = 160;  // users' requests block while they wait for the ledger
 constexpr size_t kMeshThreads = 8;
 constexpr size_t kMaxBodyBytes = size_t{64} * 1024;
 constexpr size_t kMaxMeshBodyBytes = size_t{256} * 1024;
@@ -25,7 +25,7 @@
   return settings.next_limits->write_rps;
 }
 
-// Logs a request that took long, or failed, when it ends.
+// Logs a request that was slow or ended with a 5xx status, when it goes out of scope.
 class SlowRequestLog {
  public:
   SlowRequestLog(const httplib::Request& request, const httplib::Response& response)
@@ -33,16 +33,16 @@
   SlowRequestLog(const SlowRequestLog&) = delete;
   SlowRequestLog& operator=(const SlowRequestLog&) = delete;
   ~SlowRequestLog() {
-    const double took = steady_now() - started_;
-    if (took > kSlowRequestS || response_.status >= 500)
+    const double elapsed_s = steady_now() - started_at_;
+    if (elapsed_s > kSlowRequestS || response_.status >= 500)
       spdlog::debug("{} {}: {} after {:.0f} ms", request_.method, request_.target, response_.status,
-                    1000 * took);
+                    1000 * elapsed_s);
   }
 
  private:
   const httplib::Request& request_;
   const httplib::Response& response_;
-  const double started_ = steady_now();
+  const double started_at_ = steady_now();
 };
 
 }  // namespace
--- a/src/daemon/controller.h
+++ b/src/daemon/controller.h
@@ -1,17 +1,17 @@
 #pragma once
-// One controller: builds its parts, starts their threads and servers, and stops them. The parts
-// share nothing but SharedState and the thread-safe objects declared before it.
+// One controller process: constructs the components, starts their threads and the HTTP servers, and
+// stops them. The components share only SharedState and the thread-safe objects declared before it.
 //
-//   StallDetector         notices that the process was suspended
-//   LedgerWatcher         follows the ledger and answers read barriers
-//   LeaderElection        campaigns for the leader key, renews and resigns it
-//   SchedulingLoop        rounds of the scheduler while leading
-//   TransactionCommitter  the scheduler's transactions
-//   CommandDispatcher     commands that do not wait for a worker's next heartbeat
-//   CloudReconciler       rentals, returns, lists, machine types
-//   PeerExchange          views exchanged with the siblings
-//   CancellationNotifier  notifies the leader of cancellations before their users hear of them
-//   HeartbeatEndpoint, HealthEndpoint, MeshEndpoint, UserApi   requests, in threads of the servers
+//   StallDetector         detects that the process was suspended
+//   LedgerWatcher         watches the ledger and completes read barriers
+//   LeaderElection        campaigns for the leader key, renews its lease, and resigns
+//   SchedulingLoop        runs scheduling rounds while this controller leads
+//   TransactionCommitter  commits the scheduler's transactions
+//   CommandDispatcher     sends direct commands to workers
+//   CloudReconciler       rents, returns and lists machines; reads the machine types
+//   PeerExchange          exchanges views with the peer controllers
+//   CancellationNotifier  notifies the leader of cancellations before they are confirmed to users
+//   HeartbeatEndpoint, HealthEndpoint, MeshEndpoint, UserApi   serve requests on server threads
 
 #include <httplib.h>
 
@@ -49,16 +49,17 @@
 class Controller {
  public:
   explicit Controller(Config config);
-  // Stops.
+  // Calls stop().
   ~Controller();
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  // Listens and starts the threads; to be called once. False: an address cannot be had.
+  // Opens the listening sockets and starts the threads. Must be called once. Returns false if a
+  // socket cannot be opened.
   bool start();
-  // Ends all threads and closes the servers; later calls do nothing.
+  // Joins all threads and closes the servers. Later calls have no effect.
   void stop();
-  // Of the users' and workers' address, once started.
+  // The port that serves users and workers. Valid after start().
   int port() const { return server_->port(); }
   Role role() const;
 
@@ -72,7 +73,7 @@
   Reachability reachability_;
   ReadBarrier read_barrier_;
   TransactionIds transaction_ids_;
-  mutable SharedState shared_;  // reading it takes its lock
+  mutable SharedState shared_;  // mutable because reading it takes its lock
 
   StallDetector stall_detector_;
   LedgerWatcher ledger_watcher_;
--- a/src/daemon/controller_state.cpp
+++ b/src/daemon/controller_state.cpp
@@ -12,18 +12,18 @@
 namespace {
 
 constexpr double kCooldownS = 12;
-// The leader's share of the requests to the cloud, and what the followers divide.
+// The leader's share of the cloud's rate limit, and the share that the followers divide.
 constexpr double kLeaderCloudShare = 0.7;
 constexpr double kFollowersCloudShare = 0.25;
-// What all replicas use of a limit together.
-constexpr double kUsedShare = 0.95;
-// An unconfirmed leader keeps its workers' leases alive no longer than this: no outage that the
-// service is meant to survive lasts as long, and one that is partitioned has to end some time.
+// The share of a rate limit that all controllers together use.
+constexpr double kTotalShare = 0.95;
+// Limit on how long an unconfirmed leader keeps its workers' leases alive. It exceeds every outage
+// that the service is designed to survive, and bounds the leadership of a partitioned leader.
 constexpr double kMaxUnconfirmedS = 60;
-// An unconfirmed leader that hears no sibling either for this long is likelier partitioned than in
-// an outage: it leaves its workers to the leader that the others elect.
-constexpr double kIsolatedAfterS = 5;
-constexpr double kPublishIntervalS = 0.6;
+// An unconfirmed leader without contact to any peer controller for this long is more likely
+// partitioned than affected by an outage: it leaves its workers to the leader that the peers elect.
+constexpr double kIsolationTimeoutS = 5;
+constexpr double kReadToPublishIntervalS = 0.6;
 
 std::vector<std::string> labels_of(const std::vector<Sibling>& siblings) {
   std::vector<std::string> labels;
@@ -58,16 +58,16 @@
   set_role(Role::follower, "start");
 }
 
-void ControllerState::set_role(Role to, const std::string& why) {
+void ControllerState::set_role(Role to, const std::string& reason) {
   if (role_ != to || to == Role::follower)
-    spdlog::info("role: {} -> {} ({})", to_string(role_), to_string(to), why);
+    spdlog::info("role: {} -> {} ({})", to_string(role_), to_string(to), reason);
   role_ = to;
   const int followers = config_.nodes - 1;
   const bool has_leader_share = leads() || to == Role::campaigning;
-  const double request_share = followers == 0     ? kUsedShare
+  const double request_share = followers == 0     ? kTotalShare
                                : has_leader_share ? kLeaderRequestShare
-                                                  : (kUsedShare - kLeaderRequestShare) / followers;
-  const double cloud_share = followers == 0     ? kUsedShare
+                                                  : (kTotalShare - kLeaderRequestShare) / followers;
+  const double cloud_share = followers == 0     ? kTotalShare
                              : has_leader_share ? kLeaderCloudShare
                                                 : kFollowersCloudShare / followers;
   state_limiters_.requests.set_share(request_share);
@@ -82,22 +82,22 @@
 
 bool ControllerState::begin_campaign() {
   if (role_ != Role::follower || !ledger_cache_.leader().empty()) return false;
-  set_role(Role::campaigning, "nobody leads");
+  set_role(Role::campaigning, "there is no leader");
   return true;
 }
 
-void ControllerState::abandon_campaign(const std::string& why) {
-  if (role_ == Role::campaigning) set_role(Role::follower, why);
+void ControllerState::abandon_campaign(const std::string& reason) {
+  if (role_ == Role::campaigning) set_role(Role::follower, reason);
 }
 
 void ControllerState::become_leader(uint64_t fencing_token, double now) {
   fencing_token_ = fencing_token;
   scheduler_ = std::make_unique<Scheduler>(config_.scheduler, machine_types(), fencing_token_, now);
   scheduler_->set_day_offset(seconds_since_epoch() - now);
-  if (sizes_lowered_) scheduler_->apply_lowered_limits();
+  if (size_limits_lowered_) scheduler_->apply_lowered_limits();
   scheduler_->load(ledger_cache_, now);
   if (image_locations_token_ > 0) scheduler_->load_image_locations(image_locations_, now);
-  learn_token(fencing_token_);
+  update_known_token(fencing_token_);
   known_leader_ = config_.scheduler.label;
   set_role(Role::leading, "elected with token " + std::to_string(fencing_token_));
   wakeups_.peers.notify_all();
@@ -105,28 +105,28 @@
   wakeups_.cloud.notify_all();
 }
 
-void ControllerState::on_renewal(state::Client::Renewal outcome, double sent, double now) {
-  notice_stall(now);
-  lease_clock_.asked(sent);
+void ControllerState::on_renewal(state::Client::Renewal outcome, double sent_at, double now) {
+  check_for_stall(now);
+  lease_clock_.asked(sent_at);
   if (!leads()) return;
   if (outcome == state::Client::Renewal::kept) {
-    lease_clock_.kept(sent);
-    cancellation_staleness_.proven(sent);
+    lease_clock_.kept(sent_at);
+    cancellation_staleness_.proven(sent_at);
     if (role_ == Role::unconfirmed) set_role(Role::leading, "the lease is renewed");
   } else if (outcome == state::Client::Renewal::ended) {
     step_down(Role::follower, "the lease ended");
-  } else if (!lease_runs(now)) {
+  } else if (!is_lease_valid(now)) {
     if (role_ == Role::leading) set_role(Role::unconfirmed, "the lease could not be renewed");
     if (now - lease_clock_.kept_at() > kMaxUnconfirmedS)
-      step_down(Role::follower, "unconfirmed for too long");
+      step_down(Role::follower, "lease renewals failed for too long");
   }
 }
 
-void ControllerState::step_down(Role to, const std::string& why) {
+void ControllerState::step_down(Role to, const std::string& reason) {
   scheduler_.reset();
   fencing_token_ = 0;
   if (to == Role::cooldown) cooldown_until_ = steady_now() + kCooldownS;
-  set_role(to, why);
+  set_role(to, reason);
   wakeups_.election.notify_all();
 }
 
@@ -136,22 +136,22 @@
 
 // ---------------------------------------------------------------- lease
 
-void ControllerState::notice_stall(double now) {
+void ControllerState::check_for_stall(double now) {
   const double stall_s = lease_clock_.stall(now);
   if (stall_s <= 0) return;
-  spdlog::warn("this process did not run for {:.1f} s", stall_s);
-  // Others seemed silent because this process was.
+  spdlog::warn("this process was suspended for {:.1f} s", stall_s);
+  // What was not received during the suspension does not count as missed by workers and peers.
   if (scheduler_) scheduler_->on_process_stall(stall_s, now);
-  sibling_heard_at_ = std::min(now, sibling_heard_at_ + stall_s);
+  last_peer_contact_ = std::min(now, last_peer_contact_ + stall_s);
   wakeups_.election.notify_all();
 }
 
-bool ControllerState::lease_runs(double now) const {
+bool ControllerState::is_lease_valid(double now) const {
   return lease_clock_.runs(now, config_.lease_ttl_s);
 }
 
 bool ControllerState::lease_confirmed(double now) {
-  notice_stall(now);
+  check_for_stall(now);
   return leads() && lease_clock_.lease_confirmed(now, config_.lease_ttl_s);
 }
 
@@ -186,31 +186,31 @@
   return !ledger_cache_.types().empty() || !cloud_types_.empty();
 }
 
-// ---------------------------------------------------------------- siblings
+// ---------------------------------------------------------------- peer controllers
 
 uint64_t ControllerState::known_token() const {
-  const uint64_t in_ledger = ledger_cache_.leader().empty() ? 0 : ledger_cache_.leader_version();
-  return std::max({highest_token_, fencing_token_, in_ledger});
+  const uint64_t ledger_token = ledger_cache_.leader().empty() ? 0 : ledger_cache_.leader_version();
+  return std::max({highest_token_, fencing_token_, ledger_token});
 }
 
-bool ControllerState::learn_leader(uint64_t fencing_token, const std::string& leader) {
+bool ControllerState::update_known_leader(uint64_t fencing_token, const std::string& leader) {
   if (fencing_token <= highest_token_) return false;
   highest_token_ = fencing_token;
   known_leader_ = leader;
   return true;
 }
 
-void ControllerState::learn_token(uint64_t fencing_token) {
+void ControllerState::update_known_token(uint64_t fencing_token) {
   highest_token_ = std::max(highest_token_, fencing_token);
 }
 
 bool ControllerState::is_isolated(double now) const {
-  return !config_.siblings.empty() && now - sibling_heard_at_ > kIsolatedAfterS &&
-         now - reachability_.state_answered_at() > kIsolatedAfterS;
+  return !config_.siblings.empty() && now - last_peer_contact_ > kIsolationTimeoutS &&
+         now - reachability_.state_answered_at() > kIsolationTimeoutS;
 }
 
-void ControllerState::learn_image_locations(const nlohmann::json& locations,
-                                            uint64_t fencing_token) {
+void ControllerState::update_image_locations(const nlohmann::json& locations,
+                                             uint64_t fencing_token) {
   if (locations.is_null() || fencing_token < image_locations_token_) return;
   image_locations_ = locations;
   image_locations_token_ = fencing_token;
@@ -218,7 +218,7 @@
 
 // ---------------------------------------------------------------- cancellations
 
-bool ControllerState::knows_cancellations(double now) const {
+bool ControllerState::is_within_staleness_bound(double now) const {
   return now - cancellation_staleness_.at() <=
          staleness_limit(config_.scheduler.cancel_s, config_.scheduler.lease_s);
 }
@@ -226,7 +226,7 @@
 bool ControllerState::must_publish_read_to(double now) const {
   if (role_ != Role::leading || ledger_cache_.last_cancelled() <= ledger_cache_.read_to())
     return false;
-  if (now - read_to_published_at_ < kPublishIntervalS) return false;
+  if (now - read_to_published_at_ < kReadToPublishIntervalS) return false;
   return write_share_.reachable_siblings(now) < config_.nodes - 1;
 }
 
@@ -238,8 +238,8 @@
   state_limiters_.writes.set_share(write_share_.share(leader, now));
 }
 
-void ControllerState::lower_sizes() {
-  sizes_lowered_ = true;
+void ControllerState::apply_lowered_size_limits() {
+  size_limits_lowered_ = true;
   if (scheduler_) scheduler_->apply_lowered_limits();
 }
 
--- a/src/daemon/controller_state.h
+++ b/src/daemon/controller_state.h
@@ -1,8 +1,8 @@
 #pragma once
 // The state that the threads of one controller share, and the state machine of its role. It is
-// reached only through SharedState::lock(), so it locks nothing and never blocks. The term of a
-// leader is named by its fencing token: what was decided under one counts under no other.
-// Moments are of steady_now(), in seconds.
+// accessed only through SharedState::lock(), so it takes no locks and never blocks. A leader's term
+// is identified by its fencing token; decisions of one term are invalid in any other. All time
+// points are seconds of steady_now().
 
 #include <cstdint>
 #include <memory>
@@ -26,7 +26,7 @@
 
 namespace rookdyke {
 
-// The leader's share of the requests to the state service; followers divide the rest.
+// The leader's share of the request rate limit of the state service. The followers divide the rest.
 inline constexpr double kLeaderRequestShare = 0.6;
 
 class ControllerState {
@@ -36,102 +36,112 @@
                   net::RateLimiter& cloud_limiter, const Reachability& reachability,
                   Wakeups& wakeups);
 
-  // -- the role: one function per transition
+  // -- Role: one function per transition.
 
-  // To be called once, before the threads start.
+  // Must be called once, before the threads start.
   void start(double now);
-  // cooldown -> follower, once its time is over.
+  // cooldown -> follower, if the cooldown has expired.
   void end_cooldown_if_over(double now);
-  // follower -> campaigning, if still nobody holds the leader key. Whether it was.
+  // follower -> campaigning, if no controller holds the leader key. Returns whether the role
+  // changed.
   bool begin_campaign();
   // campaigning -> follower.
-  void abandon_campaign(const std::string& why);
+  void abandon_campaign(const std::string& reason);
   // campaigning -> leading: builds the scheduler from the ledger cache.
   void become_leader(uint64_t fencing_token, double now);
-  // A renewal that was sent then came to that outcome: leading <-> unconfirmed, or -> follower.
-  void on_renewal(state::Client::Renewal outcome, double sent, double now);
-  // Gives up leadership: -> follower or cooldown. The scheduler ends with it.
-  void step_down(Role to, const std::string& why);
+  // Handles the outcome of a lease renewal sent at `sent_at`: leading <-> unconfirmed, or
+  // -> follower.
+  void on_renewal(state::Client::Renewal outcome, double sent_at, double now);
+  // Ends this controller's leadership and destroys its scheduler: -> follower or cooldown.
+  void step_down(Role to, const std::string& reason);
 
   Role role() const { return role_; }
-  // leading or unconfirmed.
+  // Whether the role is leading or unconfirmed.
   bool leads() const { return is_leader(role_); }
-  // The token of the term; 0: does not lead.
+  // The fencing token of this controller's term; 0 if it does not lead.
   uint64_t fencing_token() const { return fencing_token_; }
-  // Null unless it leads.
+  // The scheduler of the current term; null unless this controller leads.
   Scheduler* scheduler() { return scheduler_.get(); }
-  // The same, but null too if that term is over.
+  // The scheduler of the term with this fencing token; null if that term has ended.
   Scheduler* scheduler_of_term(uint64_t fencing_token);
 
-  // -- the lease. A process may be suspended in any line while its clocks run on: nothing that was
-  // read, decided or queued before counts until the lease was asked for again.
-
-  // Finds out whether this process was suspended; to be called several times a second.
-  void notice_stall(double now);
-  // The leader key was granted by a request that was sent then.
-  void on_lease_granted(double sent) { lease_clock_.kept(sent); }
-  bool lease_runs(double now) const;
-  // Leads, and the lease was asked for since the last stall.
+  // -- Lease. The process may be suspended at any line while its clocks keep running: whatever was
+  // read, decided or queued before is not acted on until a lease renewal has been attempted again.
+
+  // Checks whether this process was suspended. Must be called several times a second.
+  void check_for_stall(double now);
+  // Records that a lease requested at `sent_at` was granted and the leader key written under it.
+  void on_lease_granted(double sent_at) { lease_clock_.kept(sent_at); }
+  // Whether the lease of the leader key has not expired.
+  bool is_lease_valid(double now) const;
+  // Whether this controller leads, and either its lease has not expired or a renewal was attempted
+  // since the process was last suspended.
   bool lease_confirmed(double now);
-  // Leads with a lease that it could renew: may decide, write and command.
+  // Whether this controller leads with a confirmed lease: it may schedule, write and send
+  // commands.
   bool may_decide(double now);
-  // Leads with a lease that it could not renew: may still have cancelled work stopped.
+  // Whether this controller leads but could not renew its lease: it may still stop cancelled
+  // work, but must not schedule.
   bool is_unconfirmed_leader(double now);
 
-  // -- the ledger
+  // -- Ledger.
 
   const LedgerCache& ledger_cache() const { return ledger_cache_; }
-  // A row as read, watched or committed; the scheduler hears of it.
+  // Applies a row that was read, watched or committed, and passes job rows to the scheduler.
   void apply(const wire::Row& row);
   void begin_reload() { ledger_cache_.begin_reload(); }
   void end_reload() { ledger_cache_.end_reload(); }
-  // The ledger cache holds all changes up to this revision.
+  // The revision up to which the ledger cache contains all changes.
   uint64_t ledger_revision() const { return ledger_revision_; }
   void set_ledger_revision(uint64_t revision) { ledger_revision_ = revision; }
-  // Those of the ledger, or else of the cloud; empty: unknown.
+  // The machine types from the ledger, or from the cloud if the ledger has none; empty if unknown.
   std::vector<MachineType> machine_types() const;
   bool machine_types_known() const;
   void set_cloud_types(std::vector<MachineType> types) { cloud_types_ = std::move(types); }
 
-  // -- siblings
+  // -- Peer controllers.
 
-  // The highest fencing token known of, and its leader's label (empty: none known).
+  // The highest known fencing token, and the label of the last known leader (empty if unknown).
   uint64_t known_token() const;
   const std::string& known_leader() const { return known_leader_; }
-  // Somebody holds, or held, that token. False: no news.
-  bool learn_leader(uint64_t fencing_token, const std::string& leader);
-  // The same, where the leader's label is not told.
-  void learn_token(uint64_t fencing_token);
-  void on_sibling_heard(double now) { sibling_heard_at_ = now; }
-  // No sibling was heard lately, nor does the state service answer.
+  // Records that a controller holds or held this token. Returns false if the token is not higher
+  // than the highest one recorded.
+  bool update_known_leader(uint64_t fencing_token, const std::string& leader);
+  // Records a token whose leader's label is unknown.
+  void update_known_token(uint64_t fencing_token);
+  void on_peer_contact(double now) { last_peer_contact_ = now; }
+  // Whether neither a peer controller nor the state service has been in contact recently.
   bool is_isolated(double now) const;
-  // Which images machines hold, as the leader of that token said; a hint for its successor.
-  void learn_image_locations(const nlohmann::json& locations, uint64_t fencing_token);
+  // Records which images are cached on which machines, as reported by the leader with this token. A
+  // successor uses them as a hint.
+  void update_image_locations(const nlohmann::json& locations, uint64_t fencing_token);
 
-  // -- cancellations (docs/design.md)
+  // -- Cancellations (docs/design.md).
 
   CancellationGate& cancellation_gate() { return cancellation_gate_; }
   CancellationStaleness& cancellation_staleness() { return cancellation_staleness_; }
-  // Whether, as a leader, it may keep workers' leases alive: its proof of having heard all
-  // cancellations is fresh enough (leadership/cancellations.h).
-  bool knows_cancellations(double now) const;
-  // Whether a sibling that the mesh does not reach may wait to learn how far the leader has read.
+  // Whether the staleness of this controller's knowledge of cancellations is within the staleness
+  // bound, so that as leader it may keep workers' leases alive (leadership/cancellations.h).
+  bool is_within_staleness_bound(double now) const;
+  // Whether this leader has to publish in the ledger the revision that it has read up to, because a
+  // peer controller that is not reachable over the mesh may be waiting for it.
   bool must_publish_read_to(double now) const;
   void on_read_to_published(double now) { read_to_published_at_ = now; }
 
-  // -- limits of the state service
+  // -- Limits of the state service.
 
   net::WriteShare& write_share() { return write_share_; }
-  // Applies this replica's share of the changes a second, by demand as far as it is known.
+  // Recomputes this controller's share of the write rate limit from the known write demands, and
+  // applies it.
   void update_write_share(double now);
-  bool sizes_lowered() const { return sizes_lowered_; }
-  // The state service takes less at once than before, as a sibling has seen.
-  void lower_sizes();
-  // The scheduler has seen the same.
-  void on_sizes_lowered() { sizes_lowered_ = true; }
+  bool size_limits_lowered() const { return size_limits_lowered_; }
+  // Applies the lowered size limits of the state service, as reported by a peer controller.
+  void apply_lowered_size_limits();
+  // Records that the scheduler has detected the lowered size limits itself.
+  void record_lowered_size_limits() { size_limits_lowered_ = true; }
 
  private:
-  void set_role(Role to, const std::string& why);  // the only place that changes it
+  void set_role(Role to, const std::string& reason);  // the only function that writes role_
 
   const Config& config_;
   state::RateLimiters& state_limiters_;
@@ -151,16 +161,16 @@
 
   uint64_t highest_token_ = 0;
   std::string known_leader_;
-  double sibling_heard_at_ = -1e9;
+  double last_peer_contact_ = -1e9;
   nlohmann::json image_locations_;
-  uint64_t image_locations_token_ = 0;  // of the leader that sent them; 0: none
+  uint64_t image_locations_token_ = 0;  // token of the leader that reported them; 0: none
 
   CancellationGate cancellation_gate_;
   CancellationStaleness cancellation_staleness_;
   double read_to_published_at_ = -1e9;
 
   net::WriteShare write_share_;
-  bool sizes_lowered_ = false;
+  bool size_limits_lowered_ = false;
 };
 
 }  // namespace rookdyke
--- a/src/daemon/guarded.h
+++ b/src/daemon/guarded.h
@@ -10,14 +10,14 @@
 template <typename T>
 class Guarded {
  public:
-  // Holds the mutex while it exists, and gives access to the data. For one thread.
+  // Holds the mutex for its lifetime and gives access to the data. Not thread-safe.
   class Lock {
    public:
     Lock(std::mutex& mutex, T& data) : lock_(mutex), data_(data) {}
 
     T* operator->() { return &data_; }
     T& operator*() { return data_; }
-    // For a wait on a condition variable, which releases the mutex meanwhile.
+    // The lock to pass to a condition variable, which releases the mutex while it waits.
     std::unique_lock<std::mutex>& mutex_lock() { return lock_; }
 
    private:
--- a/src/daemon/heartbeat_endpoint.cpp
+++ b/src/daemon/heartbeat_endpoint.cpp
@@ -56,7 +56,7 @@
     return Answer{http_status::kUnavailable, {{"error", why}}};
   };
   if (state.role() == Role::unconfirmed && state.is_isolated(now)) return unavailable("cut off");
-  if (state.leads() && !state.knows_cancellations(now))
+  if (state.leads() && !state.is_within_staleness_bound(now))
     return unavailable("jobs may have been cancelled unheard");
   // One that was suspended does not know yet whether it still leads.
   if (state.leads() && !state.lease_confirmed(now)) return unavailable("not sure to lead");
--- a/src/daemon/leader_election.cpp
+++ b/src/daemon/leader_election.cpp
@@ -12,16 +12,17 @@
 
 namespace {
 
-// Requests about the lease are given up sooner than others: the lease does not wait.
+// Lease requests have a shorter timeout than others, because the lease keeps expiring meanwhile.
 constexpr double kLeaseTimeoutS = 0.8;
-constexpr double kKeyWriteWaitS = 0.5;  // for the budget of changes
+constexpr double kRateLimitWaitS = 0.5;  // for the write rate limit
 constexpr double kBarrierTimeoutS = 2;
-// Candidates wait up to this long before they try, so that not all try at once.
-constexpr double kCampaignJitterS = 0.3;
-// The leader key is looked at this often while nobody holds it, and while somebody does.
-constexpr double kVacantIntervalS = 0.1;
-constexpr double kLedIntervalS = 0.5;
-constexpr double kShortestGapS = 0.02;  // between two renewals
+// Each candidate delays its campaign by a random time up to this, so that not all write at once.
+constexpr double kMaxCampaignDelayS = 0.3;
+// How often a follower checks the leader key while it is vacant, and while another controller holds
+// it.
+constexpr double kVacantKeyPollIntervalS = 0.1;
+constexpr double kHeldKeyPollIntervalS = 0.5;
+constexpr double kMinRenewalIntervalS = 0.02;
 
 }  // namespace
 
@@ -34,75 +35,76 @@
       reachability_(reachability),
       ids_(ids),
       client_(config.state, limiters, kLeaseTimeoutS),
-      random_(std::random_device{}()) {}
+      random_engine_(std::random_device{}()) {}
 
 void LeaderElection::run() {
   while (!shared_.stopping()) {
-    const View seen = view();
-    if (is_leader(seen.role)) {
+    const Snapshot snapshot = take_snapshot();
+    if (is_leader(snapshot.role)) {
       lease_held_ = true;
       renew_lease();
     } else if (lease_held_) {
       client_.drop(lease_);
       lease_held_ = false;
-    } else if (seen.role == Role::follower && seen.vacant && seen.types_known) {
-      run_for_leader();
+    } else if (snapshot.role == Role::follower && snapshot.vacant && snapshot.machine_types_known) {
+      campaign_after_delay();
     }
     wait_for_next_step();
   }
   resign();
 }
 
-LeaderElection::View LeaderElection::view() {
+LeaderElection::Snapshot LeaderElection::take_snapshot() {
   auto state = shared_.lock();
   const double now = steady_now();
   state->end_cooldown_if_over(now);
-  View seen;
-  seen.role = state->role();
+  Snapshot snapshot;
+  snapshot.role = state->role();
   const bool fresh = now - reachability_.state_answered_at() < 2 * config_.follower_watch_s + 1;
-  seen.vacant = reachability_.ledger_loaded() && state->ledger_cache().leader().empty() && fresh;
-  seen.types_known = state->machine_types_known();
-  return seen;
+  snapshot.vacant =
+      reachability_.ledger_loaded() && state->ledger_cache().leader().empty() && fresh;
+  snapshot.machine_types_known = state->machine_types_known();
+  return snapshot;
 }
 
 void LeaderElection::wait_for_next_step() {
   auto state = shared_.lock();
-  double longest_s = kLedIntervalS;
+  double timeout_s = kHeldKeyPollIntervalS;
   if (state->leads())
-    longest_s = std::max(kShortestGapS, next_renewal_ - steady_now());
+    timeout_s = std::max(kMinRenewalIntervalS, next_renewal_at_ - steady_now());
   else if (state->ledger_cache().leader().empty())
-    longest_s = kVacantIntervalS;
-  shared_.wait_for(state, shared_.wakeups().election, longest_s);
+    timeout_s = kVacantKeyPollIntervalS;
+  shared_.wait_for(state, shared_.wakeups().election, timeout_s);
 }
 
-// Does nothing before the renewal is due.
+// Sends a lease renewal if one is due.
 void LeaderElection::renew_lease() {
-  const double sent = steady_now();
-  if (sent < next_renewal_) return;
+  const double sent_at = steady_now();
+  if (sent_at < next_renewal_at_) return;
   const state::Client::Renewal outcome = client_.renew(lease_);
-  shared_.lock()->on_renewal(outcome, sent, steady_now());
-  next_renewal_ = sent + config_.lease_ttl_s / 3;
+  shared_.lock()->on_renewal(outcome, sent_at, steady_now());
+  next_renewal_at_ = sent_at + config_.lease_ttl_s / 3;
 }
 
-// Campaigns after a random delay, if still nobody leads.
-void LeaderElection::run_for_leader() {
-  std::uniform_real_distribution<double> jitter(0.0, kCampaignJitterS);
-  std::this_thread::sleep_for(std::chrono::duration<double>(jitter(random_)));
-  const bool candidate = shared_.lock()->begin_campaign();
-  if (candidate && !campaign()) shared_.lock()->abandon_campaign("not elected");
-  next_renewal_ = 0;
+// Campaigns after a random delay, if there is still no leader then.
+void LeaderElection::campaign_after_delay() {
+  std::uniform_real_distribution<double> delay(0.0, kMaxCampaignDelayS);
+  std::this_thread::sleep_for(std::chrono::duration<double>(delay(random_engine_)));
+  const bool campaigning = shared_.lock()->begin_campaign();
+  if (campaigning && !campaign()) shared_.lock()->abandon_campaign("not elected");
+  next_renewal_at_ = 0;
 }
 
-// Whether this controller leads now.
+// Returns whether this controller leads now.
 bool LeaderElection::campaign() {
-  const std::optional<LeaderKey> key = acquire_key();
+  const std::optional<LeaderKey> key = acquire_leader_key();
   return key && take_leadership(*key);
 }
 
-// Writes the leader key under a new lease, if there is no such key. Empty: it failed, and the lease
-// is dropped.
-std::optional<LeaderElection::LeaderKey> LeaderElection::acquire_key() {
-  const double granted = steady_now();
+// Writes the leader key under a new lease, on condition that the key does not exist. On failure,
+// drops the lease and returns empty.
+std::optional<LeaderElection::LeaderKey> LeaderElection::acquire_leader_key() {
+  const double requested_at = steady_now();
   const auto lease = client_.grant(config_.lease_ttl_s);
   if (!lease) return std::nullopt;
   ledger::Transaction transaction;
@@ -112,35 +114,38 @@
                           false,
                           {{"label", config_.scheduler.label}, {"w", transaction.transaction_id}},
                           *lease}};
-  ledger::Result result = client_.commit(transaction, kKeyWriteWaitS);
+  ledger::Result result = client_.commit(transaction, kRateLimitWaitS);
   if (result.outcome == ledger::Outcome::unknown)
-    result = client_.commit_repeated(transaction, kKeyWriteWaitS);
-  // Everything that a predecessor committed lies before this key; the barrier brings it here.
+    result = client_.commit_repeated(transaction, kRateLimitWaitS);
+  // All of a predecessor's commits precede this key, so after the barrier the ledger cache has
+  // them.
   if (result.outcome != ledger::Outcome::applied || !read_barrier_.wait(kBarrierTimeoutS)) {
-    client_.drop(*lease);  // whatever became of the write, the key goes with its lease
+    client_.drop(*lease);  // also deletes the key, if the write was applied
     return std::nullopt;
   }
-  return LeaderKey{*lease, result.revision, granted};
+  return LeaderKey{*lease, result.revision, requested_at};
 }
 
-// Leads under a key that was written, unless that came too late or the ledger shows another.
+// Starts this controller's term under a key that was written, unless the lease has expired or the
+// ledger cache shows another key.
 bool LeaderElection::take_leadership(const LeaderKey& key) {
   auto state = shared_.lock();
   lease_ = key.lease;
-  const uint64_t key_in_ledger = state->ledger_cache().leader_version();
-  if (!state->machine_types_known() || key_in_ledger != key.revision) {
-    spdlog::warn("elected but not able to lead: machine types {}, leader key {} of {}",
-                 state->machine_types_known() ? "known" : "unknown", key_in_ledger, key.revision);
-    state->abandon_campaign("not able to lead");
+  const uint64_t ledger_key_revision = state->ledger_cache().leader_version();
+  if (!state->machine_types_known() || ledger_key_revision != key.revision) {
+    spdlog::warn(
+        "elected but unable to lead: machine types {}, leader key revision {}, expected {}",
+        state->machine_types_known() ? "known" : "unknown", ledger_key_revision, key.revision);
+    state->abandon_campaign("unable to lead");
     lease_held_ = true;
     return false;
   }
   const double now = steady_now();
-  state->notice_stall(now);
-  state->on_lease_granted(key.granted);
-  if (!state->lease_runs(now)) {
-    // It took too long, or the process was suspended: another may lead by now.
-    state->abandon_campaign("elected too late");
+  state->check_for_stall(now);
+  state->on_lease_granted(key.requested_at);
+  if (!state->is_lease_valid(now)) {
+    // The election took too long or the process was suspended: another controller may lead by now.
+    state->abandon_campaign("lease expired during the election");
     lease_held_ = true;
     return false;
   }
@@ -148,15 +153,15 @@
   return true;
 }
 
-// When the process ends: others need not wait for the lease's end.
+// Drops the lease when the controller stops, so that the peers need not wait until it expires.
 void LeaderElection::resign() {
-  bool led = false;
+  bool was_leader = false;
   {
     auto state = shared_.lock();
-    led = state->leads();
-    if (led) state->step_down(Role::follower, "stopping");
+    was_leader = state->leads();
+    if (was_leader) state->step_down(Role::follower, "stopping");
   }
-  if (led) client_.drop(lease_);
+  if (was_leader) client_.drop(lease_);
 }
 
 }  // namespace rookdyke
--- a/src/daemon/leader_election.h
+++ b/src/daemon/leader_election.h
@@ -1,7 +1,7 @@
 #pragma once
-// Campaigns for the leader key, renews its lease, and gives it up when the controller stops or no
-// longer leads. The key hangs on the lease: it goes when the lease ends. The transitions of the
-// role that follow are those of ControllerState.
+// Campaigns for the leader key, renews its lease, and releases the lease when the controller stops
+// or no longer leads. The state service deletes the key when its lease ends. ControllerState
+// performs the resulting role transitions.
 
 #include <cstdint>
 #include <optional>
@@ -22,29 +22,29 @@
   LeaderElection(const Config& config, SharedState& shared, state::RateLimiters& limiters,
                  ReadBarrier& read_barrier, const Reachability& reachability, TransactionIds& ids);
 
-  // The thread's loop; returns after SharedState::stop, having resigned.
+  // The thread's loop. Resigns and returns after SharedState::stop.
   void run();
 
  private:
-  // What one step is decided on, seen under one lock.
-  struct View {
+  // The state that one iteration of the loop acts on, read under one lock.
+  struct Snapshot {
     Role role = Role::follower;
-    bool vacant = false;       // nobody holds the leader key, by a fresh read of the ledger
-    bool types_known = false;  // the machine types, without which nobody can lead
+    bool vacant = false;               // a recent read of the ledger shows no leader key
+    bool machine_types_known = false;  // machine types are required to lead
   };
-  // A lease and the leader key written under it.
+  // A lease and the leader key that was written under it.
   struct LeaderKey {
     uint64_t lease = 0;
-    uint64_t revision = 0;  // of the key: the fencing token
-    double granted = 0;     // the lease was asked for; its time runs from here at the earliest
+    uint64_t revision = 0;    // of the key; it is the fencing token
+    double requested_at = 0;  // when the lease was requested, before its TTL began
   };
 
-  View view();
+  Snapshot take_snapshot();
   void wait_for_next_step();
   void renew_lease();
-  void run_for_leader();
+  void campaign_after_delay();
   bool campaign();
-  std::optional<LeaderKey> acquire_key();
+  std::optional<LeaderKey> acquire_leader_key();
   bool take_leadership(const LeaderKey& key);
   void resign();
 
@@ -55,10 +55,10 @@
   TransactionIds& ids_;
   state::Client client_;
 
-  std::mt19937 random_;
-  uint64_t lease_ = 0;       // that of the latest leader key
-  bool lease_held_ = false;  // to be dropped once this controller no longer leads
-  double next_renewal_ = 0;
+  std::mt19937 random_engine_;
+  uint64_t lease_ = 0;       // of the last leader key written
+  bool lease_held_ = false;  // `lease_` must be dropped once this controller no longer leads
+  double next_renewal_at_ = 0;
 };
 
 }  // namespace rookdyke
--- a/src/daemon/ledger_watcher.cpp
+++ b/src/daemon/ledger_watcher.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-constexpr int kRowsPerPage = 500;       // of a reload
-constexpr double kWatchShare = 0.45;    // of this replica's requests to the state service
-constexpr double kShortestGapS = 0.02;  // between two reads
-// A failed read is followed by the next one after this time, or at the next call for a barrier.
-constexpr double kWatchRetryS = 0.15;
-constexpr double kReloadRetryS = 0.3;
-// After this long without an answer the ledger is asked for its revision; beyond so many changes
-// it is reloaded.
-constexpr double kLongSilenceS = 3;
-constexpr uint64_t kMaxChangesBehind = 200;
+constexpr int kRowsPerReloadBatch = 500;
+constexpr double kWatchRequestShare = 0.45;  // of this controller's request rate limit
+constexpr double kMinReadIntervalS = 0.02;
+// Delay after a failed watch or reload; the next call of ReadBarrier::wait ends it early.
+constexpr double kWatchRetryDelayS = 0.15;
+constexpr double kReloadRetryDelayS = 0.3;
+// After this long without a response to a watch, the ledger's revision is read first. If it is
+// ahead by more than kMaxRevisionLag, the ledger is reloaded instead of watched.
+constexpr double kRevisionCheckAfterS = 3;
+constexpr uint64_t kMaxRevisionLag = 200;
 
 }  // namespace
 
@@ -38,63 +38,66 @@
 void LedgerWatcher::run() {
   while (!shared_.stopping()) {
     wait_for_next_read();
-    const ReadBarrier::Read read = read_barrier_.begin_read();
+    const ReadBarrier::ReadId read = read_barrier_.begin_read();
     if (shared_.stopping()) return;
     read_and_watch(read);
   }
 }
 
-// Until a caller waits or the interval is over, but no sooner than this replica's share of the
-// requests allows.
+// Waits until a caller waits for a barrier or the watch interval has elapsed, but at least as long
+// as this controller's share of the request rate limit requires.
 void LedgerWatcher::wait_for_next_read() {
   const bool leads = shared_.lock()->leads();
   const double interval = leads ? config_.leader_watch_s : config_.follower_watch_s;
   const double request_share =
       leads ? kLeaderRequestShare : (1 - kLeaderRequestShare) / std::max(1, config_.nodes - 1);
-  const double gap = std::max(kShortestGapS, 1 / (kWatchShare * request_share * config_.state_rps));
-  const double until_due = read_at_ + interval - steady_now();
-  if (loaded_ && until_due > 0) read_barrier_.wait_for_caller(until_due);
-  const double until_allowed = read_at_ + gap - steady_now();
-  if (until_allowed > 0 && !shared_.stopping())
-    std::this_thread::sleep_for(std::chrono::duration<double>(until_allowed));
+  const double min_interval =
+      std::max(kMinReadIntervalS, 1 / (kWatchRequestShare * request_share * config_.state_rps));
+  const double due_in_s = last_read_at_ + interval - steady_now();
+  if (loaded_ && due_in_s > 0) read_barrier_.wait_for_caller(due_in_s);
+  const double allowed_in_s = last_read_at_ + min_interval - steady_now();
+  if (allowed_in_s > 0 && !shared_.stopping())
+    std::this_thread::sleep_for(std::chrono::duration<double>(allowed_in_s));
 }
 
-void LedgerWatcher::read_and_watch(ReadBarrier::Read read) {
+void LedgerWatcher::read_and_watch(ReadBarrier::ReadId read) {
   using Kind = state::Client::Watch::Kind;
-  read_at_ = steady_now();
-  const bool reachable = read_rows_if_needed();
-  // The watch catches up with what changed between the pages of a reload.
+  last_read_at_ = steady_now();
+  const bool is_loaded = reload_if_needed();
+  // The watch also returns the rows that changed while a reload was reading its batches.
   state::Client::Watch watch;
-  const double sent = steady_now();
-  if (reachable) watch = client_.watch(ledger::kPrefix, revision_, 0);
+  const double sent_at = steady_now();
+  if (is_loaded) watch = client_.watch(ledger::kPrefix, revision_, 0);
   switch (watch.kind) {
     case Kind::too_old:
-      spdlog::warn("ledger: watch from revision {} is too old, reloading", revision_);
+      spdlog::warn("ledger: changes since revision {} are no longer available, reloading",
+                   revision_);
       loaded_ = false;
-      break;  // the callers wait for the next read
+      break;  // callers of the barrier wait for the next read
     case Kind::events:
-      answered_at_ = steady_now();
-      read_barrier_.answered();
-      apply_changes(watch.rows, sent);
-      read_barrier_.succeeded(read);
+      last_response_at_ = steady_now();
+      read_barrier_.on_response();
+      apply_changes(watch.rows, sent_at);
+      read_barrier_.on_read_applied(read);
       break;
     case Kind::failed:
-      read_barrier_.failed(read, loaded_ ? kWatchRetryS : kReloadRetryS);
+      read_barrier_.on_read_failed(read, loaded_ ? kWatchRetryDelayS : kReloadRetryDelayS);
       break;
   }
 }
 
-// Reads all rows if none were read yet, or if too much has changed since. False: the ledger did not
-// answer.
+// Loads all rows if they are not loaded yet or the ledger is too far ahead. Returns false if the
+// state service did not respond.
 //
-// A watch answers with all changes since, whatever their size: those of a partition of two minutes
-// take more memory than a controller has (docs/rounds.md, round 20). The rows as they are do not;
-// so a watcher that was long without an answer asks first how far the ledger is ahead.
-bool LedgerWatcher::read_rows_if_needed() {
-  if (loaded_ && steady_now() - answered_at_ > kLongSilenceS) {
+// The response to a watch contains every change since the given revision, however large: the
+// changes of a two-minute partition need more memory than a controller has. The current rows fit.
+// Therefore, after a long time without a response, the revision of the ledger is checked before the
+// watch.
+bool LedgerWatcher::reload_if_needed() {
+  if (loaded_ && steady_now() - last_response_at_ > kRevisionCheckAfterS) {
     const auto head = client_.range(ledger::kPrefix, "", 1);
     if (!head) return false;
-    if (head->revision > revision_ + kMaxChangesBehind) {
+    if (head->revision > revision_ + kMaxRevisionLag) {
       spdlog::info("ledger: {} changes behind, reloading", head->revision - revision_);
       loaded_ = false;
     }
@@ -103,34 +106,35 @@
   return loaded_;
 }
 
-// Page by page, so that no more than one is in memory at a time. No barrier is answered from what
-// the ledger cache shows meanwhile: the watch that follows answers the next one.
+// Reads all rows in batches, so that at most one batch is in memory at a time. No read barrier
+// completes while the ledger cache is partially loaded: the watch that follows completes them.
 bool LedgerWatcher::reload() {
   std::string after;
   uint64_t first_revision = 0;
   size_t rows = 0;
   shared_.lock()->begin_reload();
   while (true) {
-    const auto page = client_.range(ledger::kPrefix, after, kRowsPerPage);
-    if (!page) return false;
-    if (first_revision == 0) first_revision = page->revision;
-    if (!page->rows.empty()) after = page->rows.back().key;
-    rows += page->rows.size();
+    const auto batch = client_.range(ledger::kPrefix, after, kRowsPerReloadBatch);
+    if (!batch) return false;
+    if (first_revision == 0) first_revision = batch->revision;
+    if (!batch->rows.empty()) after = batch->rows.back().key;
+    rows += batch->rows.size();
     auto state = shared_.lock();
-    for (const wire::Row& row : page->rows) state->apply(row);
-    if (!page->more || page->rows.empty()) break;
+    for (const wire::Row& row : batch->rows) state->apply(row);
+    if (!batch->more || batch->rows.empty()) break;
   }
   auto state = shared_.lock();
   state->end_reload();
-  // Later pages may show later changes; the watch from the first page's revision repeats them.
+  // Later batches may contain later changes; the watch from the first batch's revision returns
+  // those again.
   revision_ = first_revision;
   state->set_ledger_revision(revision_);
   spdlog::info("ledger loaded: {} rows at revision {}", rows, first_revision);
   return true;
 }
 
-// `sent`: when the watch was sent that this answers.
-void LedgerWatcher::apply_changes(const wire::Rows& changes, double sent) {
+// Applies the changes returned by a watch that was sent at `sent_at`.
+void LedgerWatcher::apply_changes(const wire::Rows& changes, double sent_at) {
   auto state = shared_.lock();
   for (const wire::Row& row : changes.rows) state->apply(row);
   const double now = steady_now();
@@ -139,12 +143,13 @@
   reachability_.on_state_answer(now);
   reachability_.on_ledger_loaded();
   const LedgerCache& ledger = state->ledger_cache();
-  if (!ledger.leader().empty()) state->learn_leader(ledger.leader_version(), ledger.leader());
+  if (!ledger.leader().empty())
+    state->update_known_leader(ledger.leader_version(), ledger.leader());
   const Scheduler* scheduler = state->scheduler();
   if (scheduler && scheduler->needs_round()) shared_.wakeups().scheduling.notify_one();
-  state->cancellation_staleness().proven(sent);
+  state->cancellation_staleness().proven(sent_at);
   if (state->leads() && ledger.leader_version() > state->fencing_token())
-    state->step_down(Role::follower, "the leader key is another's");
+    state->step_down(Role::follower, "another controller holds the leader key");
   CancellationGate& gate = state->cancellation_gate();
   if (state->leads()) gate.leader_has_read(revision_);
   gate.leader_has_read(ledger.read_to());
--- a/src/daemon/ledger_watcher.h
+++ b/src/daemon/ledger_watcher.h
@@ -1,7 +1,8 @@
 #pragma once
-// Follows the ledger: reads it, keeps the ledger cache up to date by watches, and answers the read
-// barriers. A watch that holds nothing back is a read of the current revision and of all changes
-// up to it in one request: each is a barrier for every caller that waited when it was sent.
+// Keeps the ledger cache up to date: loads all rows, then polls the state service's watch for
+// changes, and completes read barriers. A watch request without a hold time returns the current
+// revision and all changes up to it, so each one completes the barrier of every caller that was
+// waiting when it was sent.
 
 #include <cstdint>
 
@@ -24,10 +25,10 @@
 
  private:
   void wait_for_next_read();
-  void read_and_watch(ReadBarrier::Read read);
-  bool read_rows_if_needed();
+  void read_and_watch(ReadBarrier::ReadId read);
+  bool reload_if_needed();
   bool reload();
-  void apply_changes(const wire::Rows& changes, double sent);
+  void apply_changes(const wire::Rows& changes, double sent_at);
 
   const Config& config_;
   SharedState& shared_;
@@ -35,10 +36,10 @@
   Reachability& reachability_;
   state::Client client_;
 
-  uint64_t revision_ = 0;   // the ledger cache holds all changes up to here
-  bool loaded_ = false;     // all rows were read; only changes are missing
-  double read_at_ = 0;      // the last read was begun
-  double answered_at_ = 0;  // a watch was answered last
+  uint64_t revision_ = 0;        // the ledger cache contains all changes up to it
+  bool loaded_ = false;          // all rows were read; false requests a reload
+  double last_read_at_ = 0;      // start of the last read
+  double last_response_at_ = 0;  // the last response to a watch
 };
 
 }  // namespace rookdyke
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// rookdyked: one controller.
+// rookdyked: runs one controller.
 
 #include <malloc.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -15,7 +15,7 @@
 
 namespace {
 
-void set_up_log(const std::string& label) {
+void set_up_logging(const std::string& label) {
   auto log = spdlog::stderr_logger_mt("rookdyked");
   log->set_pattern("%H:%M:%S.%e %l " + label + " %v");
   const char* level = std::getenv("LOG_LEVEL");
@@ -23,22 +23,21 @@
   spdlog::set_default_logger(log);
 }
 
-// Every socket is a file descriptor; some more are for epoll and the log.
-void raise_descriptors(size_t sockets) {
-  const rlim_t need = sockets + 64;
+// Raises the limit on file descriptors to one for each socket plus a reserve for epoll and the log.
+void raise_descriptor_limit(size_t sockets) {
+  const rlim_t required = sockets + 64;
   rlimit limit{};
-  if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= need) return;
-  limit.rlim_cur = std::min(need, limit.rlim_max);
-  if (setrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur < need)
-    spdlog::warn(
-        "{} sockets are allowed by the settings, but only {} file descriptors by the system",
-        sockets, limit.rlim_cur);
+  if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= required) return;
+  limit.rlim_cur = std::min(required, limit.rlim_max);
+  if (setrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur < required)
+    spdlog::warn("the settings allow {} sockets, but the system allows only {} file descriptors",
+                 sockets, limit.rlim_cur);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  // Few arenas: a thread per connection would otherwise cost an arena each.
+  // Limits malloc arenas: otherwise each connection's thread would allocate an arena of its own.
   mallopt(M_ARENA_MAX, 2);
   mallopt(M_TRIM_THRESHOLD, 1 << 20);
 
@@ -61,14 +60,14 @@
     std::cerr << "rookdyked: " << e.what() << std::endl;
     return 2;
   }
-  set_up_log(config.scheduler.label);
-  raise_descriptors(config.max_sockets);
+  set_up_logging(config.scheduler.label);
+  raise_descriptor_limit(config.max_sockets);
   const auto bind = config.bind, mesh = config.mesh;
   rookdyke::Controller controller(std::move(config));
   if (!controller.start()) {
     spdlog::error("cannot listen on {}:{} or {}:{}", bind.host, bind.port, mesh.host, mesh.port);
     return 1;
   }
-  // It lasts until it is killed; nothing needs to be saved.
+  // The process runs until it is killed; there is no state to save on exit.
   while (true) std::this_thread::sleep_for(std::chrono::hours(24));
 }
--- a/src/daemon/peer_exchange.cpp
+++ b/src/daemon/peer_exchange.cpp
@@ -79,7 +79,7 @@
   view.state_ok = steady_now() - reachability_.state_answered_at() < kStateFreshS;
   view.write_demand = state->write_share().own_demand();
   view.rate_lowered = limiters_.sees_lowered_write_rate();
-  view.sizes_lowered = state->sizes_lowered();
+  view.sizes_lowered = state->size_limits_lowered();
   view.fencing_token = state->known_token();
   view.leader = state->known_leader();
   return view;
@@ -88,15 +88,15 @@
 void PeerExchange::on_view(const mesh::View& view) {
   auto state = shared_.lock();
   const double now = steady_now();
-  state->on_sibling_heard(now);
+  state->on_peer_contact(now);
   if (view.state_ok) reachability_.on_sibling_served(now);
-  state->learn_image_locations(view.image_locations, view.fencing_token);
+  state->update_image_locations(view.image_locations, view.fencing_token);
   state->write_share().record_sibling(view.label, view.write_demand, now);
   if (view.rate_lowered) limiters_.on_sibling_refused();
-  if (view.sizes_lowered) state->lower_sizes();
+  if (view.sizes_lowered) state->apply_lowered_size_limits();
   // Together with the token below: who relies on what a leader has read knows of that leader.
   state->cancellation_gate().leader_has_read(view.read_to);
-  if (!state->learn_leader(view.fencing_token, view.leader)) return;
+  if (!state->update_known_leader(view.fencing_token, view.leader)) return;
   // Invariant 2: a leader that alone is partitioned from the state service learns here that the
   // others have elected another.
   if (state->leads() && view.fencing_token > state->fencing_token())
--- a/src/daemon/read_barrier.cpp
+++ b/src/daemon/read_barrier.cpp
@@ -6,46 +6,48 @@
 namespace rookdyke {
 
 bool ReadBarrier::wait(double timeout_s) {
-  if (failing()) return false;  // known to fail: said at once
+  if (failing()) return false;  // fails fast instead of waiting for the timeout
   std::unique_lock lock(mutex_);
-  const uint64_t mine = ++calls_;
-  called_.notify_all();
-  finished_.wait_for(lock, std::chrono::duration<double>(timeout_s),
-                     [&] { return stopped_ || answered_to_ >= mine || failed_to_ >= mine; });
-  return answered_to_ >= mine;
+  const uint64_t call = ++call_count_;
+  caller_arrived_.notify_all();
+  read_finished_.wait_for(lock, std::chrono::duration<double>(timeout_s), [&] {
+    return stopped_ || applied_through_ >= call || failed_through_ >= call;
+  });
+  return applied_through_ >= call;
 }
 
 void ReadBarrier::stop() {
   std::lock_guard lock(mutex_);
   stopped_ = true;
-  called_.notify_all();
-  finished_.notify_all();
+  caller_arrived_.notify_all();
+  read_finished_.notify_all();
 }
 
-void ReadBarrier::wait_for_caller(double longest_s) {
+void ReadBarrier::wait_for_caller(double timeout_s) {
   std::unique_lock lock(mutex_);
-  called_.wait_for(lock, std::chrono::duration<double>(longest_s),
-                   [&] { return stopped_ || calls_ > std::max(answered_to_, failed_to_); });
+  caller_arrived_.wait_for(lock, std::chrono::duration<double>(timeout_s), [&] {
+    return stopped_ || call_count_ > std::max(applied_through_, failed_through_);
+  });
 }
 
-ReadBarrier::Read ReadBarrier::begin_read() {
+ReadBarrier::ReadId ReadBarrier::begin_read() {
   std::lock_guard lock(mutex_);
-  return calls_;
+  return call_count_;
 }
 
-void ReadBarrier::succeeded(Read read) {
+void ReadBarrier::on_read_applied(ReadId read) {
   std::lock_guard lock(mutex_);
-  answered_to_ = read;
-  finished_.notify_all();
+  applied_through_ = read;
+  read_finished_.notify_all();
 }
 
-void ReadBarrier::failed(Read read, double pause_s) {
+void ReadBarrier::on_read_failed(ReadId read, double pause_s) {
   std::unique_lock lock(mutex_);
-  failed_to_ = read;
-  finished_.notify_all();
-  // Before any of them returns, so that none asks again in vain.
+  failed_through_ = read;
+  read_finished_.notify_all();
+  // Incremented before the mutex is released, so that a caller that retries sees failing().
   ++consecutive_failures_;
-  if (!stopped_) called_.wait_for(lock, std::chrono::duration<double>(pause_s));
+  if (!stopped_) caller_arrived_.wait_for(lock, std::chrono::duration<double>(pause_s));
 }
 
 }  // namespace rookdyke
--- a/src/daemon/replica_ledger.cpp
+++ b/src/daemon/replica_ledger.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr size_t kMaxConnections = 4;  // to the state service
-// A submission that finds no connection and no budget in this time is more than this replica can
-// take: it is refused at once, not when its user would give up anyway.
+// A submission that gets no connection and no share of the rate limits within this time exceeds
+// this controller's capacity. It is refused then, before its user's request times out.
 constexpr double kQueueTimeoutS = 0.9;
-constexpr double kShortestTryS = 0.05;
-constexpr double kNotificationTimeoutS = 1.2;  // for the leader to learn of a cancellation
+constexpr double kMinCommitTimeS = 0.05;
+constexpr double kNotificationTimeoutS = 1.2;  // to notify the leader of a cancellation
 
 }  // namespace
 
@@ -30,9 +30,9 @@
 
 bool ReplicaLedger::wait_for_barrier(double timeout_s) { return read_barrier_.wait(timeout_s); }
 
-void ReplicaLedger::read(const std::function<void(const LedgerCache&)>& look) const {
+void ReplicaLedger::read(const std::function<void(const LedgerCache&)>& visitor) const {
   auto state = shared_.lock();
-  look(state->ledger_cache());
+  visitor(state->ledger_cache());
 }
 
 std::vector<MachineType> ReplicaLedger::machine_types() const {
@@ -56,11 +56,11 @@
   if (!connection) return std::nullopt;
   bool repeat = false;
   while (true) {
-    const double left = deadline - steady_now();
-    if (left <= kShortestTryS) return std::nullopt;
-    const double wait = std::min(left, kQueueTimeoutS);
-    const ledger::Result result = repeat ? connection->commit_repeated(transaction, wait)
-                                         : connection->commit(transaction, wait);
+    const double remaining_s = deadline - steady_now();
+    if (remaining_s <= kMinCommitTimeS) return std::nullopt;
+    const double wait_s = std::min(remaining_s, kQueueTimeoutS);
+    const ledger::Result result = repeat ? connection->commit_repeated(transaction, wait_s)
+                                         : connection->commit(transaction, wait_s);
     if (result.outcome == Outcome::unknown) {
       if (read_barrier_.failing()) return std::nullopt;
       repeat = true;
@@ -68,14 +68,16 @@
     }
     const bool not_executed =
         result.outcome == Outcome::refused || result.outcome == Outcome::rejected;
-    if (not_executed && repeat) return std::nullopt;  // but perhaps an earlier copy was, or will be
+    if (not_executed && repeat)
+      return std::nullopt;  // indeterminate: an earlier copy may be applied
     return result;
   }
 }
 
-// The one place that decides whether a user may hear "aborted" of a job whose cancellation is
-// durable: whoever may answer workers now has to know of it, or it would keep their leases and
-// those tasks alive (leadership/cancellations.h).
+// Decides whether "aborted" may be reported to users for a job whose cancellation is durable; no
+// other code decides this. Any controller that may reply to heartbeats has to know the
+// cancellation, because otherwise it would keep the workers' leases and the job's tasks alive
+// (leadership/cancellations.h).
 bool ReplicaLedger::may_confirm_cancelled(const std::string& id, double deadline, uint64_t leader) {
   auto state = shared_.lock();
   const CachedJob* job = state->ledger_cache().job(id);
@@ -83,8 +85,8 @@
   const uint64_t version = job->version;
   CancellationGate& gate = state->cancellation_gate();
   if (gate.is_known(id, version)) return true;
-  // This leader's scheduler got the row with the ledger cache. One that was suspended may lead no
-  // longer.
+  // A leader's scheduler received the row through the ledger cache. The lease must be confirmed,
+  // because this controller may have lost leadership while the process was suspended.
   if (state->leads()) {
     const Scheduler* scheduler = state->scheduler();
     const bool known = scheduler && !scheduler->has_lost_leadership() &&
--- a/src/daemon/replica_ledger.h
+++ b/src/daemon/replica_ledger.h
@@ -1,5 +1,6 @@
 #pragma once
-// The ledger as users' requests see and write it through this replica (JobLedger).
+// The JobLedger of this controller: reads users' requests from the ledger cache, and commits their
+// transactions to the state service.
 
 #include <functional>
 #include <optional>
@@ -23,7 +24,7 @@
                 ReadBarrier& read_barrier, const Reachability& reachability, TransactionIds& ids);
 
   bool wait_for_barrier(double timeout_s) override;
-  void read(const std::function<void(const LedgerCache&)>& look) const override;
+  void read(const std::function<void(const LedgerCache&)>& visitor) const override;
   std::vector<MachineType> machine_types() const override;
   std::string new_transaction_id() override;
   std::optional<ledger::Result> commit(const ledger::Transaction& transaction,
--- a/src/daemon/resource_limits.cpp
+++ b/src/daemon/resource_limits.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr double kMemoryWarningShare = 0.8;
+constexpr double kMemoryWarningFraction = 0.8;
 constexpr double kBytesPerMb = 1 << 20;
 
-// The resident memory of this process; empty: unknown.
+// The resident memory of this process in MB; empty if unknown.
 std::optional<double> resident_mb() {
   std::ifstream statm("/proc/self/statm");
   double total_pages = 0;
@@ -30,19 +30,19 @@
 }
 
 void ResourceLimitWarnings::check_sockets(size_t machines) {
-  const size_t connections = connections_from_outside(config_);
-  if (machines <= connections || warned_of_sockets_) return;
-  warned_of_sockets_ = true;
+  const size_t available_connections = connections_from_outside(config_);
+  if (machines <= available_connections || socket_warning_logged_) return;
+  socket_warning_logged_ = true;
   spdlog::warn("max_sockets leaves {} connections for workers and users, fewer than {} machines",
-               connections, machines);
+               available_connections, machines);
 }
 
 void ResourceLimitWarnings::check_memory() {
   const std::optional<double> used_mb = resident_mb();
-  if (!used_mb || config_.memory_mb <= 0 || warned_of_memory_) return;
-  if (*used_mb <= kMemoryWarningShare * config_.memory_mb) return;
-  warned_of_memory_ = true;
-  spdlog::warn("{:.0f} MB of the {:.0f} MB that the settings allow are in use", *used_mb,
+  if (!used_mb || config_.memory_mb <= 0 || memory_warning_logged_) return;
+  if (*used_mb <= kMemoryWarningFraction * config_.memory_mb) return;
+  memory_warning_logged_ = true;
+  spdlog::warn("memory use is {:.0f} MB of the {:.0f} MB set by memory_mb", *used_mb,
                config_.memory_mb);
 }
 
--- a/src/daemon/resource_limits.h
+++ b/src/daemon/resource_limits.h
@@ -1,5 +1,5 @@
 #pragma once
-// Warns of the limits of the settings (sockets, memory) that do not carry the fleet.
+// Logs warnings when the configured limits on sockets and memory are too low for the fleet.
 
 #include <cstddef>
 
@@ -7,13 +7,14 @@
 
 namespace rookdyke {
 
-// One warning in the log for each limit, however often it is checked. For one thread.
+// Logs at most one warning per limit. Not thread-safe.
 class ResourceLimitWarnings {
  public:
-  // Must outlive this object.
+  // `config` must outlive this object.
   explicit ResourceLimitWarnings(const Config& config) : config_(config) {}
 
-  // For a fleet of so many machines. Reads a file: not to be called under SharedState's lock.
+  // Checks the limits for a fleet of `machines` machines. Reads a file, so it must not be called
+  // under SharedState's lock.
   void check(size_t machines);
 
  private:
@@ -21,8 +22,8 @@
   void check_memory();
 
   const Config& config_;
-  bool warned_of_sockets_ = false;
-  bool warned_of_memory_ = false;
+  bool socket_warning_logged_ = false;
+  bool memory_warning_logged_ = false;
 };
 
 }  // namespace rookdyke
--- a/src/daemon/scheduling_loop.cpp
+++ b/src/daemon/scheduling_loop.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr double kIdleIntervalS = 0.5;
-constexpr double kShortestRoundIntervalS = 0.06;  // rounds follow events no sooner than this
-// Under load rounds come less often and each does more at once: a round takes one part in this
-// many of the time.
+constexpr double kMinRoundIntervalS = 0.06;  // applies also when events wake the loop
+// The interval between rounds is at least the duration of the last round times this factor: under
+// load, rounds become less frequent and each handles more.
 constexpr double kRoundIntervalFactor = 12;
 constexpr double kSummaryIntervalS = 10;
 
@@ -28,21 +28,23 @@
 
 void SchedulingLoop::run() {
   while (!shared_.stopping()) {
-    // No wakeup meanwhile is lost: what there is to do is looked at only after it.
-    if (machines_to_check_) limit_warnings_.check(*machines_to_check_);
-    machines_to_check_.reset();
-    if (const double gap = round_at_ + kShortestRoundIntervalS - steady_now(); gap > 0) {
-      std::this_thread::sleep_for(std::chrono::duration<double>(gap));
+    // Runs without the lock. A wakeup during this is not lost, because run_step() checks for work
+    // only afterwards.
+    if (machine_count_to_check_) limit_warnings_.check(*machine_count_to_check_);
+    machine_count_to_check_.reset();
+    if (const double remaining_s = last_round_at_ + kMinRoundIntervalS - steady_now();
+        remaining_s > 0) {
+      std::this_thread::sleep_for(std::chrono::duration<double>(remaining_s));
       continue;
     }
     auto state = shared_.lock();
-    const double interval = step(*state);
-    shared_.wait_for(state, shared_.wakeups().scheduling, interval);
+    const double wait_s = run_step(*state);
+    shared_.wait_for(state, shared_.wakeups().scheduling, wait_s);
   }
 }
 
-double SchedulingLoop::step(ControllerState& state) {
-  if (state.may_decide(steady_now())) return lead(state);
+double SchedulingLoop::run_step(ControllerState& state) {
+  if (state.may_decide(steady_now())) return run_leader_step(state);
   const Scheduler* scheduler = state.scheduler();
   if (state.role() == Role::unconfirmed && scheduler && scheduler->has_lost_leadership()) {
     state.step_down(Role::follower, kLostLeadership);
@@ -53,16 +55,17 @@
   return kIdleIntervalS;
 }
 
-double SchedulingLoop::lead(ControllerState& state) {
+double SchedulingLoop::run_leader_step(ControllerState& state) {
   const double now = steady_now();
   if (state.scheduler()->has_lost_leadership()) {
     state.step_down(Role::follower, kLostLeadership);
     return kIdleIntervalS;
   }
   if (state.scheduler()->receives_no_heartbeats(now)) {
-    // Partitioned from the workers while the state service still answers: only another controller
-    // can reach them. Their machines are not returned because this one cannot hear them.
-    state.step_down(Role::cooldown, "no worker reaches this controller");
+    // This controller is partitioned from the workers but not from the state service, so only a
+    // peer controller can reach them. Missed heartbeats must not lead to the return of their
+    // machines.
+    state.step_down(Role::cooldown, "no heartbeats arrive from the workers");
     return kIdleIntervalS;
   }
   return run_round(state, now);
@@ -71,27 +74,28 @@
 double SchedulingLoop::run_round(ControllerState& state, double now) {
   Scheduler& scheduler = *state.scheduler();
   scheduler.round(now);
-  round_at_ = now;
-  const double took = steady_now() - now;
+  last_round_at_ = now;
+  const double round_duration_s = steady_now() - now;
   Wakeups& wakeups = shared_.wakeups();
   wakeups.transactions.notify_all();
   wakeups.cloud.notify_all();
   wakeups.commands.notify_one();
-  if (now >= next_summary_) {
-    next_summary_ = now + kSummaryIntervalS;
+  if (now >= next_summary_at_) {
+    next_summary_at_ = now + kSummaryIntervalS;
     log_summary(scheduler, now);
   }
-  return std::clamp(kRoundIntervalFactor * took, config_.scheduler.tuning.round_s,
+  return std::clamp(kRoundIntervalFactor * round_duration_s, config_.scheduler.tuning.round_s,
                     config_.scheduler.tuning.round_max_s);
 }
 
 void SchedulingLoop::log_summary(const Scheduler& scheduler, double now) {
   const Scheduler::Summary summary = scheduler.summary(now);
   spdlog::info(
-      "jobs {} waiting {} live {}; machines ready {} booting {} draining {} silent {}, target {}",
+      "jobs {}, tasks waiting {}, attempts {}; machines ready {}, booting {}, draining {}, "
+      "timed out {}, target {}",
       summary.jobs, summary.waiting, summary.live, summary.ready, summary.booting, summary.draining,
       summary.silent, summary.target);
-  machines_to_check_ = summary.ready + summary.booting + summary.draining;
+  machine_count_to_check_ = summary.ready + summary.booting + summary.draining;
 }
 
 }  // namespace rookdyke
--- a/src/daemon/shared_state.cpp
+++ b/src/daemon/shared_state.cpp
@@ -8,13 +8,13 @@
 namespace rookdyke {
 
 namespace {
-constexpr double kShortestWaitS = 0.001;
+constexpr double kMinWaitS = 0.001;
 }  // namespace
 
-void SharedState::wait_for(Lock& lock, std::condition_variable& wakeup, double longest_s) {
+void SharedState::wait_for(Lock& lock, std::condition_variable& wakeup, double timeout_s) {
   if (stopping_) return;
-  const std::chrono::duration<double> longest(std::max(kShortestWaitS, longest_s));
-  wakeup.wait_for(lock.mutex_lock(), longest);
+  const std::chrono::duration<double> timeout(std::max(kMinWaitS, timeout_s));
+  wakeup.wait_for(lock.mutex_lock(), timeout);
 }
 
 bool SharedState::term_confirmed(uint64_t fencing_token) {
@@ -24,7 +24,7 @@
 
 bool SharedState::stop() {
   if (stopping_.exchange(true)) return false;
-  auto state = lock();  // whoever has seen `stopping_` unset waits by now
+  auto state = lock();  // every thread that saw `stopping_` unset is waiting by now
   wakeups_.notify_all();
   state->cancellation_gate().stop();
   return true;
--- a/src/daemon/shared_state.h
+++ b/src/daemon/shared_state.h
@@ -1,10 +1,11 @@
 #pragma once
-// What the threads of one controller share: the guarded ControllerState, the condition variables
-// that wake their loops, and whether the controller is stopping.
+// The data shared by the threads of one controller: the guarded ControllerState, the condition
+// variables that wake their loops, and the stop flag.
 //
-// There is one mutex. Nothing blocks while it is held: no request is sent, no file is read, no
-// other wait than those below is made. ReadBarrier, RateLimiter and ConnectionPool have mutexes of
-// their own; under those this one is never taken.
+// One mutex guards the state. No thread blocks while it holds the mutex: it sends no request, reads
+// no file, and waits only on condition variables that release the mutex. ReadBarrier, RateLimiter
+// and ConnectionPool have their own mutexes; this mutex is never acquired while one of those is
+// held.
 
 #include <atomic>
 #include <condition_variable>
@@ -25,19 +26,20 @@
               net::RateLimiter& cloud_limiter, const Reachability& reachability)
       : state_(config, state_limiters, cloud_limiter, reachability, wakeups_) {}
 
-  // Access to the state, until the lock ends.
+  // Locks the mutex and gives access to the state until the lock is destroyed.
   Lock lock() { return state_.lock(); }
-  // Releases the lock until `wakeup` is notified, for `longest_s` seconds at most. Returns at once
-  // while the controller is stopping.
-  void wait_for(Lock& lock, std::condition_variable& wakeup, double longest_s);
+  // Releases the lock and waits until `wakeup` is notified or `timeout_s` has elapsed. Returns
+  // immediately while the controller is stopping.
+  void wait_for(Lock& lock, std::condition_variable& wakeup, double timeout_s);
   Wakeups& wakeups() { return wakeups_; }
-  // Whether this controller still leads with that token and a confirmed lease. Takes the lock; to
-  // be asked right before something that was decided in that term is sent.
+  // Whether this controller still leads with that token and a confirmed lease. Takes the lock. Must
+  // be checked right before sending anything that was decided in that term.
   bool term_confirmed(uint64_t fencing_token);
 
   // Lock-free.
   bool stopping() const { return stopping_; }
-  // Ends all waits, now and later. False: it was called before.
+  // Wakes all waiting threads and makes later waits return immediately. Returns false if it was
+  // already called.
   bool stop();
 
  private:
--- a/src/daemon/stall_detector.cpp
+++ b/src/daemon/stall_detector.cpp
@@ -14,7 +14,7 @@
 
 void StallDetector::run() {
   while (!shared_.stopping()) {
-    shared_.lock()->notice_stall(steady_now());
+    shared_.lock()->check_for_stall(steady_now());
     std::this_thread::sleep_for(kCheckInterval);
   }
 }
--- a/src/daemon/stall_detector.h
+++ b/src/daemon/stall_detector.h
@@ -1,6 +1,6 @@
 #pragma once
-// Notices that this process was suspended while its clocks ran on (leadership/lease_clock.h), also
-// when no other thread has anything to do.
+// Detects that this process was suspended while its clocks kept running (leadership/lease_clock.h),
+// even when no other thread is active.
 
 #include "daemon/shared_state.h"
 
@@ -8,7 +8,7 @@
 
 class StallDetector {
  public:
-  // Must outlive this object.
+  // `shared` must outlive this object.
   explicit StallDetector(SharedState& shared) : shared_(shared) {}
 
   // The thread's loop; returns after SharedState::stop.
--- a/src/daemon/transaction_committer.cpp
+++ b/src/daemon/transaction_committer.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr double kCommitWaitS = 2;  // for the budget of requests and changes
+constexpr double kRateLimitWaitS = 2;  // for the request and write rate limits
 constexpr double kIdleIntervalS = 0.5;
-constexpr double kRetryS = 0.1;             // after a transaction without an outcome
-constexpr double kNegligibleWaitS = 0.002;  // for the budget of changes
+constexpr double kRetryDelayS = 0.1;        // after a refused or indeterminate transaction
+constexpr double kNegligibleWaitS = 0.002;  // for the write rate limit
 
 }  // namespace
 
@@ -26,12 +26,12 @@
     if (const std::optional<Work> work = wait_for_work()) commit(*work);
 }
 
-// The next transaction; empty after a wait for one. It is put together only when the budget of
-// changes lets it go out: what comes up until then becomes part of it.
+// Returns the next transaction, or empty after waiting for one. The transaction is assembled only
+// when the write rate limit admits it, so that it includes all changes made until then.
 std::optional<TransactionCommitter::Work> TransactionCommitter::wait_for_work() {
   auto state = shared_.lock();
-  if (const double wait = limiters_.writes.wait_for(1); wait > kNegligibleWaitS) {
-    shared_.wait_for(state, shared_.wakeups().transactions, wait);
+  if (const double wait_s = limiters_.writes.wait_for(1); wait_s > kNegligibleWaitS) {
+    shared_.wait_for(state, shared_.wakeups().transactions, wait_s);
     return std::nullopt;
   }
   std::optional<PendingTransaction> pending;
@@ -47,20 +47,21 @@
 
 void TransactionCommitter::commit(const Work& work) {
   const PendingTransaction& pending = work.pending;
-  const ledger::Result result = pending.repeat ? client_.commit_repeated(pending.txn, kCommitWaitS)
-                                               : client_.commit(pending.txn, kCommitWaitS);
+  const ledger::Result result = pending.repeat
+                                    ? client_.commit_repeated(pending.txn, kRateLimitWaitS)
+                                    : client_.commit(pending.txn, kRateLimitWaitS);
   auto state = shared_.lock();
   if (result.outcome == ledger::Outcome::applied) reachability_.on_state_answer(steady_now());
   if (Scheduler* scheduler = state->scheduler_of_term(work.fencing_token)) {
     scheduler->on_result(pending.id, result, steady_now());
-    if (scheduler->uses_lowered_limits() && !state->sizes_lowered()) {
-      state->on_sizes_lowered();
-      shared_.wakeups().peers.notify_all();  // the siblings are to learn it
+    if (scheduler->uses_lowered_limits() && !state->size_limits_lowered()) {
+      state->record_lowered_size_limits();
+      shared_.wakeups().peers.notify_all();  // to report it to the peer controllers
     }
   }
   shared_.wakeups().commands.notify_one();
   if (result.outcome == ledger::Outcome::refused || result.outcome == ledger::Outcome::unknown)
-    shared_.wait_for(state, shared_.wakeups().transactions, kRetryS);
+    shared_.wait_for(state, shared_.wakeups().transactions, kRetryDelayS);
 }
 
 }  // namespace rookdyke
--- a/src/daemon/transaction_committer.h
+++ b/src/daemon/transaction_committer.h
@@ -1,6 +1,6 @@
 #pragma once
-// Commits the scheduler's transactions to the state service, one at a time, and reports their
-// outcomes to the scheduler of the same term.
+// Commits the scheduler's transactions to the state service, one at a time, and passes their
+// results to the scheduler of the same term.
 
 #include <cstdint>
 #include <optional>
@@ -24,7 +24,7 @@
  private:
   struct Work {
     PendingTransaction pending;
-    uint64_t fencing_token = 0;  // of the term that it belongs to
+    uint64_t fencing_token = 0;  // of the term that the transaction belongs to
   };
 
   std::optional<Work> wait_for_work();
--- a/src/daemon/transaction_ids.h
+++ b/src/daemon/transaction_ids.h
@@ -1,6 +1,6 @@
 #pragma once
-// Names this process and its transactions, so that no transaction is ever taken for one of another
-// process, also not of a predecessor with the same label.
+// Generates unique ids for this process and its transactions. They differ from those of any other
+// process, including earlier processes of the same controller.
 
 #include <atomic>
 #include <cstdint>
@@ -11,12 +11,12 @@
 // Thread-safe.
 class TransactionIds {
  public:
-  // `label`: this controller's.
+  // `label`: the label of this controller.
   explicit TransactionIds(const std::string& label);
 
-  // Names this process among all that ever had its label.
+  // Identifies this process among all processes of this controller.
   const std::string& incarnation() const { return incarnation_; }
-  // An id that no other transaction ever had.
+  // Returns a new, globally unique transaction id.
   std::string next();
 
  private:
--- a/src/daemon/wakeups.h
+++ b/src/daemon/wakeups.h
@@ -1,7 +1,7 @@
 #pragma once
-// The condition variables that the loops of a controller wait on, each named by its loop. They are
-// notified with or without the mutex of SharedState held: every loop looks at the state under that
-// mutex before it waits, and wakes by itself after a while.
+// The condition variables that the loops of a controller wait on, one per loop. They may be
+// notified with or without holding the mutex of SharedState: every loop checks the state under that
+// mutex before it waits, and its waits time out.
 
 #include <condition_variable>
 
--- a/tests/read_barrier_test.cpp
+++ b/tests/read_barrier_test.cpp
@@ -38,9 +38,9 @@
   barrier.wait_for_caller(kLongS);
   const auto read = barrier.begin_read();
   EXPECT_FALSE(returned(result));
-  barrier.answered();
+  barrier.on_response();
   EXPECT_FALSE(returned(result));  // not before it is applied
-  barrier.succeeded(read);
+  barrier.on_read_applied(read);
   EXPECT_TRUE(result.get());
 }
 
@@ -48,22 +48,22 @@
   const auto early = barrier.begin_read();
   auto result = waiting();
   barrier.wait_for_caller(kLongS);  // it has called
-  barrier.succeeded(early);
+  barrier.on_read_applied(early);
   EXPECT_FALSE(returned(result));
-  barrier.succeeded(barrier.begin_read());
+  barrier.on_read_applied(barrier.begin_read());
   EXPECT_TRUE(result.get());
 }
 
 TEST_F(ReadBarrierTest, OneReadAnswersAllThatWaited) {
   std::vector<std::future<bool>> results;
   results.reserve(5);
-  ReadBarrier::Read read = 0;
+  ReadBarrier::ReadId read = 0;
   for (int i = 0; i < 5; ++i) results.push_back(waiting());
   while (read < 5) {
     read = barrier.begin_read();
     std::this_thread::yield();
   }
-  barrier.succeeded(read);
+  barrier.on_read_applied(read);
   for (auto& result : results) EXPECT_TRUE(result.get());
 }
 
@@ -78,35 +78,35 @@
 TEST_F(ReadBarrierTest, AFailedReadFailsItsCallersAtOnceButNoLaterOne) {
   auto result = waiting();
   barrier.wait_for_caller(kLongS);
-  barrier.failed(barrier.begin_read(), 0);
+  barrier.on_read_failed(barrier.begin_read(), 0);
   EXPECT_FALSE(result.get());
   EXPECT_FALSE(barrier.failing());
   auto later = waiting();
   barrier.wait_for_caller(kLongS);
-  barrier.succeeded(barrier.begin_read());
+  barrier.on_read_applied(barrier.begin_read());
   EXPECT_TRUE(later.get());
 }
 
 TEST_F(ReadBarrierTest, AfterTwoFailuresInARowNobodyWaits) {
-  barrier.failed(barrier.begin_read(), 0);
+  barrier.on_read_failed(barrier.begin_read(), 0);
   EXPECT_FALSE(barrier.failing());
-  barrier.failed(barrier.begin_read(), 0);
+  barrier.on_read_failed(barrier.begin_read(), 0);
   EXPECT_TRUE(barrier.failing());
   bool proven = true;
   EXPECT_LT(seconds_of([&] { proven = barrier.wait(kLongS); }), kLongS / 2);
   EXPECT_FALSE(proven);
-  barrier.answered();
+  barrier.on_response();
   EXPECT_FALSE(barrier.failing());
   auto result = waiting();
   barrier.wait_for_caller(kLongS);
-  barrier.succeeded(barrier.begin_read());
+  barrier.on_read_applied(barrier.begin_read());
   EXPECT_TRUE(result.get());
 }
 
 TEST_F(ReadBarrierTest, AnAnswerBetweenStartsTheCountAnew) {
-  barrier.failed(barrier.begin_read(), 0);
-  barrier.answered();
-  barrier.failed(barrier.begin_read(), 0);
+  barrier.on_read_failed(barrier.begin_read(), 0);
+  barrier.on_response();
+  barrier.on_read_failed(barrier.begin_read(), 0);
   EXPECT_FALSE(barrier.failing());
 }
 
@@ -118,7 +118,7 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
   });
-  EXPECT_LT(seconds_of([&] { barrier.failed(barrier.begin_read(), kLongS); }), kLongS / 2);
+  EXPECT_LT(seconds_of([&] { barrier.on_read_failed(barrier.begin_read(), kLongS); }), kLongS / 2);
   finished = true;
   caller.join();
 }
@@ -128,7 +128,7 @@
   // One who timed out is waited for by nobody, but is still to be answered.
   EXPECT_FALSE(barrier.wait(kShortS));
   EXPECT_LT(seconds_of([&] { barrier.wait_for_caller(kLongS); }), kLongS / 2);
-  barrier.succeeded(barrier.begin_read());
+  barrier.on_read_applied(barrier.begin_read());
   EXPECT_GE(seconds_of([&] { barrier.wait_for_caller(kShortS); }), kShortS);
 }
 
@@ -137,7 +137,7 @@
   barrier.wait_for_caller(kLongS);
   const auto read = barrier.begin_read();
   auto watcher = std::async(std::launch::async, [&] {
-    barrier.failed(read, kLongS);
+    barrier.on_read_failed(read, kLongS);
     return true;
   });
   EXPECT_FALSE(result.get());
@@ -148,7 +148,7 @@
   EXPECT_LT(seconds_of([&] {
               barrier.wait_for_caller(kLongS);
               EXPECT_FALSE(barrier.wait(kLongS));
-              barrier.failed(barrier.begin_read(), kLongS);
+              barrier.on_read_failed(barrier.begin_read(), kLongS);
             }),
             kLongS / 2);
 }
--- a/tests/simulation/controller_leadership.cpp
+++ b/tests/simulation/controller_leadership.cpp
@@ -20,7 +20,7 @@
 constexpr double kStateHeardWithin = 2;  // before a campaign
 }  // namespace
 
-// As the daemon's (Controller::notice_stall, Controller::lease_confirmed).
+// As ControllerState::check_for_stall and ControllerState::lease_confirmed in the daemon.
 bool SimController::lease_confirmed() {
   const double stall = lease_clock_.stall(world_.clock.now);
   if (stall > 0) {
