--- a/src/daemon/cancellation_notifier.cpp
+++ b/src/daemon/cancellation_notifier.cpp
@@ -94,7 +94,7 @@
   // were written before its term.
   const bool acknowledged = reply_token && *reply_token >= message.fencing_token;
   if (acknowledged)
-    state->learn_token(*reply_token);
+    state->update_known_token(*reply_token);
   else
     spdlog::info("cancellations of {} jobs: not acknowledged by {}", message.rows.size(),
                  notification.leader);
--- a/src/daemon/heartbeat_endpoint.cpp
+++ b/src/daemon/heartbeat_endpoint.cpp
@@ -57,7 +57,7 @@
     return Reply{http_status::kUnavailable, {{"error", reason}}};
   };
   if (state.role() == Role::unconfirmed && state.is_isolated(now)) return unavailable("cut off");
-  if (state.leads() && !state.knows_cancellations(now))
+  if (state.leads() && !state.is_within_staleness_bound(now))
     return unavailable("jobs may have been cancelled unheard");
   // After a suspension of this process its lease is unconfirmed until the next renewal.
   if (state.leads() && !state.lease_confirmed(now)) return unavailable("not sure to lead");
--- a/src/daemon/peer_exchange.cpp
+++ b/src/daemon/peer_exchange.cpp
@@ -82,7 +82,7 @@
       steady_now() - reachability_.last_state_service_response_at() < kStateServiceFreshnessS;
   view.write_demand = state->write_share().own_demand();
   view.rate_lowered = limiters_.sees_lowered_write_rate();
-  view.sizes_lowered = state->sizes_lowered();
+  view.sizes_lowered = state->size_limits_lowered();
   view.fencing_token = state->known_token();
   view.leader = state->known_leader();
   return view;
@@ -91,18 +91,17 @@
 void PeerExchange::on_view(const mesh::View& view) {
   auto state = shared_.lock();
   const double now = steady_now();
-  state->on_sibling_heard(now);
+  state->on_peer_contact(now);
   if (view.state_ok) reachability_.on_peer_reaches_state_service(now);
-  state->learn_image_locations(view.image_locations, view.fencing_token);
+  state->update_image_locations(view.image_locations, view.fencing_token);
   state->write_share().record_sibling(view.label, view.write_demand, now);
   if (view.rate_lowered) limiters_.on_sibling_refused();
-  if (view.sizes_lowered) state->lower_sizes();
-  // Applied under the same lock as the token below: whoever sees how far a leader has read also
-  // knows that leader's token.
-  state->cancellation_gate().on_leader_read(view.read_to);
-  if (!state->learn_leader(view.fencing_token, view.leader)) return;
-  // Invariant 2: a leader that is the only controller partitioned from the state service learns
-  // here that its peers have elected another leader.
+  if (view.sizes_lowered) state->apply_lowered_size_limits();
+  // Together with the token below: who relies on what a leader has read knows of that leader.
+  state->cancellation_gate().leader_has_read(view.read_to);
+  if (!state->update_known_leader(view.fencing_token, view.leader)) return;
+  // Invariant 2: a leader that alone is partitioned from the state service learns here that the
+  // others have elected another.
   if (state->leads() && view.fencing_token > state->fencing_token())
     state->step_down(Role::follower,
                      view.label + " knows fencing token " + std::to_string(view.fencing_token));
