--- a/src/daemon/peer_exchange.cpp
+++ b/src/daemon/peer_exchange.cpp
@@ -97,11 +97,12 @@
   state->write_share().record_sibling(view.label, view.write_demand, now);
   if (view.rate_lowered) limiters_.on_sibling_refused();
   if (view.sizes_lowered) state->apply_lowered_size_limits();
-  // Together with the token below: who relies on what a leader has read knows of that leader.
-  state->cancellation_gate().leader_has_read(view.read_to);
+  // Applied under the same lock as the token below: whoever sees how far a leader has read also
+  // knows that leader's token.
+  state->cancellation_gate().on_leader_read(view.read_to);
   if (!state->update_known_leader(view.fencing_token, view.leader)) return;
-  // Invariant 2: a leader that alone is partitioned from the state service learns here that the
-  // others have elected another.
+  // Invariant 2: a leader that is the only controller partitioned from the state service learns
+  // here that its peers have elected another leader.
   if (state->leads() && view.fencing_token > state->fencing_token())
     state->step_down(Role::follower,
                      view.label + " knows fencing token " + std::to_string(view.fencing_token));
