--- a/src/fleet/boot_statistics.cpp
+++ b/src/fleet/boot_statistics.cpp
@@ -7,10 +7,12 @@
 
 namespace {
 
-// In boot times: a machine that is still booting at this age is late.
+// The age at which a booting machine is overdue, as a multiple of the published boot time, and
+// late, as a multiple of the typical boot time.
 constexpr double kLateFactor = 1.8;
 constexpr double kSampleRetentionS = 120;
-// With fewer boots or overdue machines, nothing is concluded.
+// With fewer recent boots, the typical boot time is the published one; with fewer overdue machines,
+// most_are_overdue() is false.
 constexpr size_t kMinSamples = 3;
 // The boot timeout as a multiple of the longest recent boot.
 constexpr double kLongestBootFactor = 1.2;
--- a/src/fleet/boot_statistics.h
+++ b/src/fleet/boot_statistics.h
@@ -1,7 +1,8 @@
 #pragma once
-// Boot times of the machines of one type in the recent past, and the thresholds derived from
-// them: the age at which a booting machine is late, and the age at which it is considered lost.
-// Without I/O, clock or locks; callers pass the time and serialize access.
+// Recent boot times of the machines of one type, and three thresholds for the age of a booting
+// machine: overdue (by the published boot time), late (by the typical boot time), and the boot
+// timeout, beyond which the machine is considered lost. Without I/O, clock or locks; callers pass
+// the time and serialize access.
 
 #include <cstddef>
 #include <deque>
@@ -21,16 +22,17 @@
   // overdue: the number of machines that are still booting beyond overdue_threshold_s().
   void update(double now, size_t overdue);
 
-  // Machine age beyond which a boot is late by the published boot time.
+  // Machine age beyond which a booting machine is overdue: a multiple of the published boot time.
   double overdue_threshold_s() const;
   // Median of the recent boot times, but at least the published boot time.
   double typical_boot_s() const { return typical_boot_s_; }
-  // Machine age beyond which a boot is late by the typical boot time: most machines are up by then.
+  // Machine age beyond which a booting machine is late: the same multiple of the typical boot time.
+  // Most machines are up by then.
   double late_threshold_s() const;
   // Machine age beyond which a booting machine is considered lost and returned. It leaves a margin
   // over the longest recent boot, so that a machine is not returned just before it comes up.
   double boot_timeout_s() const;
-  // Whether more machines are overdue than have booted recently.
+  // Whether more machines are overdue than have booted recently, and enough to draw a conclusion.
   bool most_are_overdue() const { return most_are_overdue_; }
 
  private:
--- a/src/fleet/boot_tracker.h
+++ b/src/fleet/boot_tracker.h
@@ -1,6 +1,7 @@
 #pragma once
-// Boot statistics of each machine type, as observed by the leader. Fed with the first heartbeat of
-// every machine that it rents; used to decide whether a booting machine still counts as capacity.
+// Boot statistics of each machine type, as observed by the leader. A sample is recorded at the
+// first heartbeat of each machine that the leader has rented. The statistics decide whether a
+// booting machine still counts as capacity and when it is returned.
 
 #include <vector>
 
--- a/src/fleet/cloud_requests.cpp
+++ b/src/fleet/cloud_requests.cpp
@@ -35,9 +35,9 @@
 
 // ---------------------------------------------------------------- rentals
 
-bool CloudRequests::lacks_capacity(Index type, const ZoneAndKind& place, double now) const {
-  const auto refused = no_capacity_until_[type].find(place);
-  return refused != no_capacity_until_[type].end() && now < refused->second;
+bool CloudRequests::lacks_capacity(Index type, const ZoneAndKind& zone_and_kind, double now) const {
+  const auto entry = no_capacity_until_[type].find(zone_and_kind);
+  return entry != no_capacity_until_[type].end() && now < entry->second;
 }
 
 std::vector<CloudRequests::PendingRental> CloudRequests::pending_rentals(Index type) const {
@@ -48,16 +48,17 @@
   return pending;
 }
 
-bool CloudRequests::request_machines(Index type, const ZoneAndKind& place, double count,
+bool CloudRequests::request_machines(Index type, const ZoneAndKind& zone_and_kind, double count,
                                      double now) {
-  if (lacks_capacity(type, place, now)) return false;
+  if (lacks_capacity(type, zone_and_kind, now)) return false;
   RentalRequest request;
-  // Invariant 4: the fencing token makes the name unique among leaders, the number within this one.
+  // Invariant 4: the fencing token makes the name unique among leaders, and the number makes it
+  // unique among the requests of this leader.
   request.name =
       "h-" + std::to_string(claim_.fencing_token()) + "-" + std::to_string(++last_rental_number_);
   request.type = catalog_.types[type].name;
-  request.zone = catalog_.zones.name(place.zone);
-  request.spot = place.kind == MachineKind::spot;
+  request.zone = catalog_.zones.name(zone_and_kind.zone);
+  request.spot = zone_and_kind.kind == MachineKind::spot;
   request.count = static_cast<int>(std::clamp(count, 1.0, kMaxRentalCount));
   rental_requests_.push_back(request);
   next_request_at_ = now + settings_.tuning.rental_interval_s;
@@ -91,7 +92,8 @@
       record_no_capacity(request, now);
       break;
     case CloudOutcome::refused:
-      // Not executed, but a copy from an earlier try may still be in flight: it keeps its name.
+      // The cloud did not execute this copy, but an earlier copy may still be in flight, so the
+      // request is repeated under the same name.
     case CloudOutcome::unknown:
       retry_at_ = now + settings_.tuning.rental_interval_s;
       break;
@@ -114,8 +116,8 @@
 void CloudRequests::record_no_capacity(const RentalRequest& request, double now) {
   const Index type = catalog_.type_names.find(request.type);
   if (type == kNone) return;
-  const ZoneAndKind place{catalog_.zones.intern(request.zone), kind_of(request)};
-  no_capacity_until_[type][place] = now + settings_.tuning.capacity_retry_s;
+  const ZoneAndKind zone_and_kind{catalog_.zones.intern(request.zone), kind_of(request)};
+  no_capacity_until_[type][zone_and_kind] = now + settings_.tuning.capacity_retry_s;
 }
 
 // ---------------------------------------------------------------- returns
@@ -193,7 +195,7 @@
     if (machine->state == MachineState::terminated || listed_machines.count(machine->index))
       continue;
     // A list may be older than the previous one. A machine's absence counts only if the machine was
-    // listed before, or if it is older than any list can lag.
+    // listed before, or if it was rented longer ago than a list can be out of date.
     const bool in_every_list =
         requested_at - machine->rented_at > 2 * settings_.list_lag_s + kListMarginS;
     if ((machine->listed || in_every_list) && machine->unlisted_at < 0) machine->unlisted_at = now;
--- a/src/fleet/cloud_requests.h
+++ b/src/fleet/cloud_requests.h
@@ -1,10 +1,10 @@
 #pragma once
 // The leader's requests to the cloud and the handling of the responses: rentals, returns, and
 // reconciliation with the cloud's list of machines. Owns the queue of rental requests and a record
-// of the places where the cloud had no capacity recently. ScaleOutPlanner queues requests; the
-// daemon sends them (at most one rental at a time) and reports their outcome. A request keeps its
-// name until the cloud has responded, so that repeating it is idempotent (invariant 4). All times
-// are seconds on the leader's steady clock.
+// of the zones and kinds for which the cloud had no capacity recently. ScaleOutPlanner queues
+// requests; the daemon sends them (at most one rental at a time) and reports their outcome. A
+// request keeps its name until on_rental_result() settles it, so that repeating it is idempotent
+// (invariant 4). All times are seconds on the leader's steady clock.
 
 #include <cstdint>
 #include <deque>
@@ -39,9 +39,9 @@
 
 class CloudRequests {
  public:
-  // A rental request that the cloud has not responded to yet.
+  // A rental request that is not settled yet: one that was not sent, or may have to be repeated.
   struct PendingRental {
-    ZoneAndKind place;
+    ZoneAndKind zone_and_kind;
     int count = 0;
   };
 
@@ -51,12 +51,13 @@
                 const MachineMonitor& monitor);
 
   // Queues a request for `count` machines, clamped to the range that one request may ask for.
-  // Returns false, and queues nothing, while lacks_capacity() holds for the place.
-  bool request_machines(Index type, const ZoneAndKind& place, double count, double now);
+  // Returns false, and queues nothing, while lacks_capacity() holds for the type, zone and kind.
+  bool request_machines(Index type, const ZoneAndKind& zone_and_kind, double count, double now);
   // Whether the rental interval has passed since a request for any type was last queued.
   bool may_request(double now) const { return now >= next_request_at_; }
-  // Whether the cloud reported a lack of capacity there within the capacity retry interval.
-  bool lacks_capacity(Index type, const ZoneAndKind& place, double now) const;
+  // Whether the cloud reported no capacity for the type, zone and kind within the capacity retry
+  // interval.
+  bool lacks_capacity(Index type, const ZoneAndKind& zone_and_kind, double now) const;
   // The pending rentals of one type, oldest first.
   std::vector<PendingRental> pending_rentals(Index type) const;
 
@@ -66,13 +67,13 @@
   void on_rental_result(const RentalRequest& request, CloudOutcome outcome,
                         const std::vector<std::string>& names, double now);
 
-  // The names of the machines to return now, in one call. `cancelled_only`: only machines that may
-  // run tasks of cancelled jobs.
+  // Selects the machines to return now, in one call to the cloud, marks them as being returned, and
+  // returns their names. `cancelled_only`: only machines that may run tasks of cancelled jobs.
   std::vector<std::string> next_return(double now, bool cancelled_only);
   void on_return(const std::vector<std::string>& names, CloudOutcome outcome, double now);
 
   // Reconciles the machine table with the cloud's list of machines: adds unknown machines and marks
-  // those that are not listed. `requested_at`: when the list was requested.
+  // those whose absence from the list is conclusive. `requested_at`: when the list was requested.
   void on_machine_list(const std::vector<ListedMachine>& list, double requested_at, double now);
 
  private:
@@ -89,7 +90,7 @@
   TaskLifecycle& lifecycle_;
   const MachineMonitor& monitor_;
 
-  std::deque<RentalRequest> rental_requests_;  // without a response, oldest first
+  std::deque<RentalRequest> rental_requests_;  // not settled yet, oldest first
   bool rental_in_flight_ = false;
   uint64_t last_rental_number_ = 0;
   double next_request_at_ = 0;  // earliest time at which a request may be queued
--- a/src/fleet/demand_model.cpp
+++ b/src/fleet/demand_model.cpp
@@ -134,8 +134,9 @@
   return best;
 }
 
-// Raises the zone's floor to a job that needs machines there without being bound to the zone. Only
-// the largest such job counts, since the others can run after it.
+// Raises the zone's floor to the number of machines for the demand of a job that needs machines
+// there but is not bound to the zone. Only the largest such job counts, since the others can run
+// after it.
 void DemandModel::record_largest_in_zone(const Job& job, Index type, Index zone,
                                          const Resources& demand) {
   if (zone == kNone) return;  // the zone of a predecessor's machine is unknown until it is listed
@@ -146,8 +147,8 @@
     in_zone.largest_on_demand_job = std::max(in_zone.largest_on_demand_job, machines);
 }
 
-// A single-zone job needs machines in the zone of its attempts; without any, it is counted for the
-// zone with the most machines.
+// A single-zone job needs machines in the zone of its attempts. Without attempts, it is counted for
+// the zone with the most machines: a gang with all its tasks, other jobs with one task.
 void DemandModel::add_single_zone_demand(const Job& job, Index type, const Resources& demand,
                                          const MachineCounts& machines) {
   for (const auto& [task, attempt] : job.attempts)
@@ -158,8 +159,8 @@
 }
 
 // Adds the demand of jobs that need machines in specific zones. The target counts machines of all
-// zones: without these floors, machines in other zones met it and a zone-bound or spread job waited
-// forever.
+// zones: without these floors, machines in other zones were enough to meet it, and a job bound to a
+// zone or spread over zones waited forever.
 void DemandModel::add_zone_demand(const Job& job, Index type, const Resources& demand,
                                   const MachineCounts& machines) {
   if (job.zone != kNone) {
--- a/src/fleet/fleet_planner.h
+++ b/src/fleet/fleet_planner.h
@@ -1,7 +1,7 @@
 #pragma once
 // Adjusts the fleet to demand: first scales out the types that lack machines, then scales in those
-// that had a surplus for the scale-in delay. Owns both planners; called by the scheduler at the end
-// of each round, after placement.
+// whose surplus has lasted for the scale-in delay. Owns both planners; called by the scheduler at
+// the end of each round, after placement.
 
 #include "fleet/cloud_requests.h"
 #include "fleet/demand_model.h"
--- a/src/fleet/forecast.cpp
+++ b/src/fleet/forecast.cpp
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-Resources Forecast::trend(double now) const {
-  // Least-squares slope over the trend window, extrapolated from the last sample.
+Resources Forecast::extrapolate(double now) const {
+  // Extrapolates from the last sample with the least-squares slope over the trend window.
   const auto n = static_cast<double>(recent_.size());
   const Resources last = recent_.back().value;
   if (n < 3) return last;
@@ -62,7 +62,7 @@
   }
   recent_.push_back({now, demand});
   while (recent_.front().at < now - tuning_.trend_s - 0.5) recent_.pop_front();
-  predicted_ = trend(now);
+  predicted_ = extrapolate(now);
   pending_.push_back({now + horizon_s_, predicted_});
 }
 
@@ -78,7 +78,7 @@
   needed += spare();
   double ratio = needed.dominant_share(size.scaled(tuning_.safe_fraction));
   if (misses_.empty()) ratio += tuning_.start_spare;
-  return std::ceil(ratio - 1e-9);
+  return std::ceil(ratio - 1e-9);  // the subtrahend absorbs rounding errors
 }
 
 }  // namespace rookdyke
--- a/src/fleet/forecast.h
+++ b/src/fleet/forecast.h
@@ -1,8 +1,8 @@
 #pragma once
-// The sizing rule for one machine type (docs/design.md): the demand forecast one boot time ahead by
-// its recent trend, plus a high percentile of past positive misses, divided by the safe fraction of
-// a machine. The largest ratio over the resources is the target. A miss is the amount by which
-// demand exceeded its forecast.
+// The sizing rule for one machine type (docs/design.md): the demand forecast one boot time ahead
+// from its recent trend, plus a high percentile of past misses, divided by the safe fraction of a
+// machine. The largest ratio over the resources, rounded up, is the target. A miss is the amount by
+// which demand exceeded its forecast; 0 if it did not.
 
 #include <deque>
 
@@ -33,7 +33,8 @@
     double at;
     Resources value;
   };
-  Resources trend(double now) const;
+  // Demand forecast from the trend for the end of the horizon, at least the last sample.
+  Resources extrapolate(double now) const;
 
   Tuning tuning_;
   double horizon_s_;
--- a/src/fleet/machine_monitor.cpp
+++ b/src/fleet/machine_monitor.cpp
@@ -6,36 +6,40 @@
 
 namespace {
 
-// Time that machines get to register with a new leader before missed heartbeats count: a worker
-// needs up to 4 s without a response, 1 s for each controller and one heartbeat interval.
+// Time in addition to the heartbeat timeout within which machines must register with a new leader.
+// A worker waits up to 4 s for a response, then tries the other controllers 1 s apart, and sends
+// its next heartbeat after up to one heartbeat interval. Also the time for which the mass outage
+// state is kept after its condition has ended.
 constexpr double kTakeoverGraceS = 8;
-// As a share of cancel_s: a machine on which a cancelled job's tasks may still run at this age of
-// the cancellation is returned, since the cloud's response proves that they have stopped.
+// As a share of cancel_s: a machine that may still run tasks of a job this long after the job's
+// cancellation is returned, since the cloud's response to the return proves that they have stopped.
 constexpr double kCancellationTimeoutShare = 0.5;
-// As a multiple of cancel_s: for older cancellations, unregistered machines are not returned, since
-// the ledger's record of their tasks is probably outdated.
+// As a multiple of cancel_s: machines that are not registered are not returned because of a
+// cancellation older than this, since the ledger's record of their tasks is probably outdated.
 constexpr double kCancellationExpiryFactor = 2;
-// A machine whose heartbeats show for this long that it receives no replies is returned.
+// A machine is returned once its heartbeats have shown for this long that it receives no replies.
 constexpr double kUnreachableTimeoutS = 8;
-// Minimum number of heartbeats with an older fencing token for that conclusion.
+// Minimum number of heartbeats with an older fencing token before a machine is returned because it
+// does not adopt the token of this leader.
 constexpr int kMinHeartbeatsWithOlderToken = 3;
 
-// A mass outage: at least this many machines, and this share of all, miss heartbeats. Independent
-// failures are rarer, a few machines per hour.
+// A mass outage: at least this many machines, and this share of all machines that should send
+// heartbeats, miss them. Independent failures are rarer, a few machines per hour.
 constexpr size_t kMassOutageMinMachines = 3;
 constexpr double kMassOutageMinShare = 0.05;
-// In heartbeat intervals: the age of the last heartbeat at which a machine counts towards a mass
-// outage.
+// As a multiple of the heartbeat interval: a machine counts towards a mass outage if its last
+// heartbeat is older.
 constexpr double kMassOutageIntervals = 1.6;
-// If at least this many machines, and this share of all, are unreachable, the cause is probably the
-// leader's own slowness.
+// If at least this many machines, and this share of the registered ones, are unreachable, the cause
+// is probably that this leader is slow.
 constexpr size_t kManyUnreachableMinMachines = 5;
 constexpr double kManyUnreachableMinShare = 0.15;
-// If at least this many machines, and this many tenths of all, miss heartbeats, this controller
-// receives none.
+// If at least this many machines, and this many tenths of the registered ones, miss heartbeats,
+// receives_no_heartbeats() holds.
 constexpr size_t kNoHeartbeatsMinMachines = 2;
 constexpr size_t kNoHeartbeatsMinTenths = 7;
-// The age of the last heartbeat for that conclusion: in heartbeat intervals, and its minimum.
+// A machine misses heartbeats in this sense if its last heartbeat is older than both this multiple
+// of the heartbeat interval and this age.
 constexpr double kNoHeartbeatsIntervals = 2.2;
 constexpr double kNoHeartbeatsMinAgeS = 5;
 
@@ -43,19 +47,21 @@
 // the latter limited to kMaxLeaseTimeoutS.
 constexpr double kHeartbeatTimeoutIntervals = 3;
 constexpr double kMaxLeaseTimeoutS = 12;
-// In boot times: how long it takes until a replacement is up and has fetched its first image.
+// As a multiple of the boot time: how long it takes until a replacement is up and has fetched its
+// first image.
 constexpr double kReplacementBoots = 1.25;
-// In leases: partitioned machines come back within one lease, or without tasks but up within half a
-// lease more.
+// As a multiple of lease_s: a partitioned machine sends heartbeats again within one lease, or
+// within another half lease if its own lease has expired and it has stopped its tasks.
 constexpr double kMassOutageLeases = 1.5;
 
-// In heartbeat intervals: heartbeat timeouts of machines past their reclaim time, and of machines
-// that are no longer in the cloud's list.
+// As multiples of the heartbeat interval: heartbeat timeouts of machines past their reclaim time,
+// and of machines that are no longer in the cloud's list.
 constexpr double kReclaimedTimeoutIntervals = 1.5;
 constexpr double kUnlistedTimeoutIntervals = 2;
 // Added to the reclaim time that the notice announced.
 constexpr double kReclaimMarginS = 1;
-// Added to two list lags: a machine that is not listed by that age was never rented.
+// Added to twice the list lag: a booting machine of that age that is not in the cloud's list does
+// not exist.
 constexpr double kUnlistedMarginS = 5;
 
 }  // namespace
@@ -68,10 +74,11 @@
                   std::min(settings_.lease_s / 2, kMaxLeaseTimeoutS));
 }
 
-// Heartbeat timeout during a mass outage, if longer than the regular one: the time that replacing
-// the machines would take, so that a wait in vain costs no more than it could have saved, or 1.5
-// leases, since machines whose lease has expired still come back, without tasks. Machines that are
-// dead have disappeared from the cloud's list by then.
+// Heartbeat timeout during a mass outage: the longest of the regular timeout, the time that
+// replacing the machines would take, and 1.5 leases. If the machines do not come back, the wait has
+// cost no more time than a needless replacement would have. Machines whose lease has expired still
+// come back within 1.5 leases, without tasks. Machines that are dead have disappeared from the
+// cloud's list by then.
 double MachineMonitor::mass_outage_timeout() const {
   double boot = 0;
   for (const MachineType& type : catalog_.types) boot = std::max(boot, type.boot_s);
@@ -79,15 +86,15 @@
       {heartbeat_timeout(), kMassOutageLeases * settings_.lease_s, kReplacementBoots * boot});
 }
 
-// Machines with tasks of cancelled jobs get no longer timeout in a mass outage, since those tasks
-// must have stopped within cancel_s.
+// The mass outage timeout does not apply to machines that hold tasks of cancelled jobs, since those
+// tasks must have stopped within cancel_s.
 double MachineMonitor::heartbeat_timeout_of(const Machine& machine) const {
   return mass_outage_ && !holds_cancelled_tasks(machine) ? mass_outage_timeout()
                                                          : heartbeat_timeout();
 }
 
-// Time within which a machine that was up under a predecessor must send its first heartbeat to a
-// new leader.
+// Time within which a machine that has been up (Machine::was_up) must send its first heartbeat to
+// this leader.
 double MachineMonitor::registration_timeout(const Machine& machine) const {
   return std::max(heartbeat_timeout_of(machine), heartbeat_timeout() + kTakeoverGraceS);
 }
@@ -100,8 +107,8 @@
   });
 }
 
-// Whether the machine may still run tasks whose cancellation timeout has passed. A machine that has
-// not registered with a new leader yet is given time to do so, since the ledger's record of its
+// Whether the machine may still run tasks of a job whose cancellation timeout has passed. A machine
+// that has not registered with this leader yet gets time to do so, since the ledger's record of its
 // tasks may be outdated.
 bool MachineMonitor::holds_overdue_cancelled_tasks(const Machine& machine, double now) const {
   const bool takeover_is_over = now - started_ > kTakeoverGraceS;
@@ -119,8 +126,8 @@
   if (machine.cordoned || machine.reclaim_at >= 0 || machine.returning || machine.unreachable())
     return false;
   if (machine.state == MachineState::booting) {
-    // A machine that was up under a predecessor and has not registered yet is not late, however
-    // long ago it was rented. Treating such machines as late boots made a new leader rent a second
+    // A machine that has been up but has not registered with this leader is not late, however long
+    // ago it was rented. Treating such machines as late boots made a new leader rent a second
     // fleet (docs/incidents/inc-6144.md).
     if (machine.was_up) return now - machine.last_heartbeat <= registration_timeout(machine);
     // Late machines are replaced, except while most are overdue: replacements would boot just as
@@ -161,7 +168,7 @@
   size_t expected = 0;
   size_t missing = 0;
   for (const auto& machine : machines_) {
-    // A predecessor's machines that have not registered yet are included.
+    // Includes machines that have been up but have not registered with this leader.
     const bool is_expected =
         machine->registered || (machine->was_up && machine->state == MachineState::booting);
     if (!is_expected || machine->state == MachineState::terminated ||
@@ -176,23 +183,23 @@
          static_cast<double>(missing) >= kMassOutageMinShare * static_cast<double>(expected);
 }
 
-// Machines come back one by one, so the state is kept for a while after the condition ends: the
-// last machines get the same timeout as the first.
+// Machines come back one by one, so the state is kept for kTakeoverGraceS after the condition ends:
+// the last machines get the same timeout as the first.
 void MachineMonitor::update_mass_outage(double now) {
   if (detects_mass_outage(now)) mass_outage_until_ = now + kTakeoverGraceS;
   mass_outage_ = now < mass_outage_until_;
 }
 
-// Heartbeats sent during the stall are still unread or went to another controller. Only heartbeats
-// missed from now on count.
+// Heartbeats sent during the stall are still unread or went to another controller. Moves the times
+// from which missed heartbeats and replies count forward by the length of the stall.
 void MachineMonitor::on_process_stall(double stall_s, double now) {
-  const auto postpone = [&](double& time) {
+  const auto move_forward = [&](double& time) {
     if (time >= 0) time = std::min(now, time + stall_s);
   };
   for (const auto& machine : machines_) {
-    postpone(machine->last_heartbeat);
-    postpone(machine->unacknowledged_since);
-    postpone(machine->older_token_since);
+    move_forward(machine->last_heartbeat);
+    move_forward(machine->unacknowledged_since);
+    move_forward(machine->older_token_since);
   }
   mass_outage_until_ = -1;
 }
@@ -211,7 +218,7 @@
   }
 }
 
-// Whether so many machines are unreachable that the cause is probably the leader's own slowness.
+// Whether so many machines are unreachable that the cause is probably that this leader is slow.
 bool MachineMonitor::are_many_unreachable() const {
   size_t registered = 0;
   size_t unreachable = 0;
@@ -250,8 +257,8 @@
   }
 }
 
-// Terminates a machine that does not receive replies or that holds overdue tasks of cancelled jobs.
-// Returns whether it did.
+// Terminates the machine if it does not receive replies, or if it holds tasks of a job whose
+// cancellation timeout has passed. Returns whether it did.
 bool MachineMonitor::terminate_if_uncontrollable(Machine& machine, bool many_unreachable,
                                                  double now) {
   if (machine.state == MachineState::terminating || machine.state == MachineState::terminated)
@@ -271,18 +278,17 @@
 
 void MachineMonitor::check_booting(Machine& machine, double now) {
   const double age = now - machine.rented_at;
-  // Machines that were up under a predecessor may have tasks. Unless those are cancelled, only the
-  // registration timeout below applies to them.
+  // Machines that have been up may have tasks. Unless tasks of cancelled jobs are among them, only
+  // the registration timeout applies to these machines.
   if (machine.heartbeats_with_older_token >= kMinHeartbeatsWithOlderToken &&
       now - machine.older_token_since > kUnreachableTimeoutS &&
       (!machine.was_up || holds_cancelled_tasks(machine))) {
     MachineTable::terminate(machine, "does not adopt the fencing token of this leader");
   } else if (machine.was_up) {
     if (now - machine.last_heartbeat > registration_timeout(machine))
-      MachineTable::terminate(machine, "no heartbeat since the takeover");
+      MachineTable::terminate(machine, "no heartbeat within the registration timeout");
   } else if (machine.unlisted_at >= 0 && age > 2 * settings_.list_lag_s + kUnlistedMarginS) {
-    MachineTable::terminate(machine,
-                            "rented under a predecessor and not in the cloud's machine list");
+    MachineTable::terminate(machine, "no heartbeat yet and not in the cloud's machine list");
   } else if (age > boot_tracker_.statistics_of(machine).boot_timeout_s()) {
     MachineTable::terminate(machine, "no heartbeat within the boot timeout");
   }
--- a/src/fleet/machine_monitor.h
+++ b/src/fleet/machine_monitor.h
@@ -1,9 +1,10 @@
 #pragma once
-// Decides which machines are alive, and which are to be returned because they are not or because
-// tasks of cancelled jobs may still run on them. Called by the scheduler once per round; fleet
-// planning asks it which machines count as capacity. Terminates machines through MachineTable and
-// stops attempts through TaskLifecycle, but never ends an attempt: missed heartbeats do not prove
-// that its task has stopped (invariant 3).
+// Decides which machines count as alive, and terminates the others as well as machines that are
+// drained or reclaimed or that may still run tasks of cancelled jobs. A machine that is terminated
+// is returned to the cloud. Called by the scheduler once per round; fleet planning asks it
+// which machines count as capacity. Terminates machines through MachineTable and stops attempts
+// through TaskLifecycle, but never ends an attempt: missed heartbeats do not prove that its task
+// has stopped (invariant 3).
 //
 // Also owns the mass outage state: machines that miss heartbeats at the same time are probably
 // partitioned from the leader rather than dead, so they get a longer heartbeat timeout. All times
@@ -39,14 +40,15 @@
         started_(started) {}
 
   // Updates the mass outage state and the boot statistics, then terminates machines that timed out,
-  // are unreachable, did not boot, are drained or reclaimed, or hold overdue tasks of cancelled
-  // jobs. Called once per round.
+  // are unreachable, did not boot, are drained or reclaimed, or hold tasks of jobs whose
+  // cancellation timeout has passed. Called once per round.
   void check_machines(double now);
-  // Terminates only machines that may still run tasks of cancelled jobs. Unlike check_machines(),
-  // an unconfirmed leader may call it.
+  // Terminates only machines that may still run tasks of cancelled jobs: after the cancellation
+  // timeout, or at once if the machine is unreachable. Unlike check_machines(), an unconfirmed
+  // leader may call it.
   void release_cancelled_work(double now);
   // Called after this process did not run for `stall_s` seconds. Heartbeats missed during the stall
-  // are not held against the machines.
+  // do not count towards any timeout.
   void on_process_stall(double stall_s, double now);
 
   // Whether the machine serves demand, now or after it has booted.
--- a/src/fleet/scale_in_planner.cpp
+++ b/src/fleet/scale_in_planner.cpp
@@ -7,15 +7,17 @@
 
 namespace {
 
-// After the scale-in delay, while the surplus lasts, one machine or this share of the surplus is
-// drained per interval. One machine per sample (5 s) left 30 of 40 machines idle for two minutes
-// after the last burst; one per second would need ten minutes for a surplus of 600.
+// After the scale-in delay, while the surplus lasts, one machine or this share of the surplus,
+// whichever is more, is drained per interval. One machine per sample (5 s) left 30 of 40 machines
+// idle for two minutes after the last burst; one per second would need ten minutes for a surplus of
+// 600.
 constexpr double kDrainIntervalS = 1;
 constexpr double kDrainShare = 0.1;
-// In shares of a machine: added for a machine with service replicas, so that others are drained
-// first.
+// Cost added for a machine with service replicas, so that others are drained first; 1 is the cost
+// of a fully used machine.
 constexpr double kReplicaCost = 10;
-// Among equally loaded machines, on-demand ones are drained first because they cost more.
+// Cost added for a spot machine, so that on-demand machines, which are more expensive, are drained
+// first among equally loaded ones.
 constexpr double kSpotCost = 1e-3;
 
 }  // namespace
--- a/src/fleet/scale_in_planner.h
+++ b/src/fleet/scale_in_planner.h
@@ -1,7 +1,7 @@
 #pragma once
-// Decides which machines of a type are drained when the type was above its target for the scale-in
-// delay. Records since when each type has been above its target. Called by FleetPlanner once per
-// round; MachineMonitor returns the drained machines.
+// Decides which machines of a type are drained once the type has been above its target for the
+// scale-in delay. Records since when each type has been above its target. Called by FleetPlanner
+// once per round; MachineMonitor returns the drained machines.
 
 #include <map>
 #include <tuple>
@@ -36,7 +36,8 @@
 
   // Records how the type's capacity compares with its target in this round.
   void record_balance(Index type, FleetBalance balance, double now);
-  // Drains some of the type's machines if it was above its target for the scale-in delay.
+  // Drains some of the type's machines if the type has been above its target for the scale-in delay
+  // and the drain interval has passed since the last time.
   void drain_if_due(Index type, double now);
 
  private:
@@ -44,7 +45,7 @@
 
   // A machine that may be drained, ordered by cost, then by index.
   struct Candidate {
-    double cost = 0;  // of draining it, in shares of a machine
+    double cost = 0;  // of draining it, as a fraction of a fully used machine
     Index machine = kNone;
     bool operator<(const Candidate& other) const {
       return std::tie(cost, machine) < std::tie(other.cost, other.machine);
@@ -65,7 +66,9 @@
   const MachineMonitor& monitor_;
   MachineTable& machines_;
   const ReplicaMover& replicas_;
-  std::vector<double> above_since_;  // by type; kNotAbove: not above the target
+  // By type: since when the type has been above its target, advanced by the drain interval each
+  // time machines are drained; kNotAbove: not above the target.
+  std::vector<double> above_since_;
 };
 
 }  // namespace rookdyke
--- a/src/fleet/scale_out_planner.cpp
+++ b/src/fleet/scale_out_planner.cpp
@@ -12,8 +12,8 @@
   const bool may_request = pending <= 0 && requests_.may_request(now);
   if (may_request && raise_to_zone_floors(type, capacity, now))
     return FleetBalance::below_zone_floor;
-  // Exception to the design's single count per type: some jobs may not use spot machines, so their
-  // demand is a floor for the number of on-demand machines.
+  // The target alone does not tell spot from on-demand machines. The demand of jobs that may not
+  // use spot machines is therefore a floor for the number of on-demand machines.
   const double target = demand_.target(type);
   Shortage shortage;
   shortage.on_demand_floor = demand_.on_demand_floor(type);
@@ -38,19 +38,20 @@
   double pending = 0;
   for (const CloudRequests::PendingRental& rental : requests_.pending_rentals(type)) {
     pending += rental.count;
-    if (rental.place.kind == MachineKind::on_demand) capacity.on_demand += rental.count;
-    capacity.by_zone[rental.place.zone] += rental.count;
+    if (rental.zone_and_kind.kind == MachineKind::on_demand) capacity.on_demand += rental.count;
+    capacity.by_zone[rental.zone_and_kind.zone] += rental.count;
   }
   capacity.total += pending;
   return pending;
 }
 
-// Second exception to the single count per type: jobs that need machines in a certain zone set a
-// floor for the machines there. Returns true if a draining machine was reused or a rental was
-// queued for one of the zones.
+// The target does not tell zones apart either: jobs that need machines in a certain zone set a
+// floor for the number of machines there. Returns true if a draining machine was reused or a rental
+// was queued for one of the zones.
 bool ScaleOutPlanner::raise_to_zone_floors(Index type, Capacity& capacity, double now) {
   for (const auto& [zone, floor] : demand_.zone_floors(type)) {
-    // operator[] adds the zone to both maps, so that it may be chosen for the type's other demand.
+    // operator[] adds the zone to by_zone, so that choose_zone() may select it for the type's other
+    // demand.
     const double on_demand_shortage = floor.on_demand - capacity.on_demand_by_zone[zone];
     const double shortage = std::max(on_demand_shortage, floor.all - capacity.by_zone[zone]);
     if (shortage <= 0) continue;
@@ -117,8 +118,8 @@
   requests_.request_machines(type, {zone, kind}, count, now);
 }
 
-// The zone with the fewest machines among those where the cloud has capacity; kNone if there is
-// none.
+// The zone with the fewest machines among those for which the cloud has not reported a lack of
+// capacity recently; kNone if there is none.
 Index ScaleOutPlanner::choose_zone(Index type, MachineKind kind, const Capacity& capacity,
                                    double now) const {
   Index best = kNone;
--- a/src/placement/array_placement.cpp
+++ b/src/placement/array_placement.cpp
@@ -36,9 +36,9 @@
   uint32_t& allowance = job.placement.starvation_allowance;
   if (starved && allowance == 0)
     allowance = initial_starvation_allowance(job, round.ready_machines);
-  // A faulty job runs one task at a time, to test whether it still fails. The next task waits for
-  // its result and for the back-off: its error is reported only after further rounds, which would
-  // otherwise start more tasks.
+  // A faulty job runs one task at a time, to test whether it still fails. The next task is started
+  // only after this one has ended and the back-off is over. Without this limit, the rounds until an
+  // error is reported would start more tasks.
   if (FaultDetector::is_faulty(job)) return job.attempts.empty() ? 1 : 0;
   return starved ? allowance : UINT32_MAX;
 }
--- a/src/placement/eligibility.cpp
+++ b/src/placement/eligibility.cpp
@@ -5,7 +5,8 @@
 namespace rookdyke {
 
 namespace {
-// In heartbeat intervals. A machine whose last heartbeat is older may no longer exist.
+// As a multiple of the heartbeat interval. A machine whose last heartbeat is older may no longer
+// exist.
 constexpr double kMaxHeartbeatAgeIntervals = 1.7;
 // A job that failed on this many machines may be retried on any of them.
 constexpr size_t kMaxAvoidedMachines = 3;
@@ -23,8 +24,9 @@
   if (machine.reserved_for != kNone && machine.reserved_for != job.id &&
       now < machine.reserved_until)
     return false;
-  // The worker still lists an earlier attempt of this job, which must not be cleared while the
-  // outcome of its direct start is indeterminate.
+  // The outcome of a direct start of an earlier attempt of this job on the machine is
+  // indeterminate. While the worker's epoch lasts, that attempt must not be cleared from the
+  // worker's list of tasks, so the machine takes no further attempt of the job.
   const auto& unanswered = machine.unanswered_starts;
   if (std::any_of(unanswered.begin(), unanswered.end(),
                   [&](const auto& start) { return start.job == job.spec.id; }))
--- a/src/placement/gang_placement.cpp
+++ b/src/placement/gang_placement.cpp
@@ -25,8 +25,9 @@
   return job.tasks() * job.share <= kMaxReservingShare * static_cast<double>(round.ready_machines);
 }
 
-// Whether all attempts of the gang have the same number and wait for the others to start. Otherwise
-// an older attempt has not been released yet, or the gang already runs or is being stopped.
+// Whether all attempts of the gang have the same number and none has gone beyond waiting for the
+// others to start. Otherwise an earlier attempt has ended but is not released yet, or the gang
+// already runs or is being stopped.
 bool may_replace_tasks(const Job& job) {
   const uint64_t number = job.attempts.begin()->second.number;
   for (const auto& [task, attempt] : job.attempts)
@@ -54,7 +55,8 @@
   return PlacementOutcome::placed;
 }
 
-// Replacements use the attempt number of the gang's current attempt (the exception to invariant 4).
+// Replacements get the number of the gang's other attempts, not the next unused number as all other
+// starts do (the exception to invariant 4).
 PlacementOutcome GangPlacement::replace_missing_tasks(Job& job, PlacementRound& round) {
   if (!may_replace_tasks(job)) return PlacementOutcome::limited;
   const auto has_quota = [&] { return team_usage_.within_limit(job.team, job.spec.per_task, 1); };
@@ -125,7 +127,7 @@
 void GangPlacement::reserve_capacity(const Job& job, const Candidates& candidates,
                                      const PlacementRound& round) {
   if (!may_reserve_capacity(job, round)) return;
-  std::map<Index, uint32_t> slots_by_zone;  // key 0 for all zones unless single_zone
+  std::map<Index, uint32_t> slots_by_zone;  // one entry, key 0, unless the gang is single-zone
   for (const PlacementCandidate& candidate : candidates)
     slots_by_zone[job.spec.single_zone ? machines_[candidate.machine].zone : 0] += candidate.slots;
   const auto largest =
--- a/src/placement/job_queue.cpp
+++ b/src/placement/job_queue.cpp
@@ -7,21 +7,22 @@
 
 namespace {
 
-// Urgencies are in seconds of age.
+// Urgencies are in seconds; lower values come first. For jobs that are not starved, each second of
+// age lowers the value by 1.
 
-// A job with a prompt start-time objective (shorter than the boot time of a machine) precedes all
-// other jobs of its priority.
+// A job with a prompt start-time objective (shorter than the boot time of a machine), and a
+// service, precedes all other jobs of its priority.
 constexpr double kPromptStartPrecedenceS = 1e6;
-// A job with a longer start-time objective, which its position in the queue can meet, precedes
-// most jobs of its priority once less than kDueSoonS is left.
+// A longer start-time objective can be met by reordering the queue: the job precedes most jobs of
+// its priority once less than kDueSoonS is left.
 constexpr double kDueSoonS = 40;
 constexpr double kDueSoonPrecedenceS = 1e5;
 // Upper bound of the penalty for a job's remaining work.
 constexpr double kMaxShortJobPreferenceS = 150;
-// A job that started no task for this long is starved and precedes all other jobs, regardless of
-// class, priority and size, because the users' largest jobs have to start within four minutes. A
-// starved array starts a part of its tasks (its starvation allowance) and its waiting time begins
-// again.
+// A job that has started no task for this long is starved and precedes all jobs that are not,
+// regardless of class, priority and size, because the users' largest jobs have to start within four
+// minutes. A starved array may start a part of its tasks (its starvation allowance); then its
+// waiting time restarts at 0.
 constexpr double kStarvedAfterS = 120;
 constexpr double kUnlimited = 1e18;
 
@@ -78,10 +79,10 @@
   }
 }
 
-// Sort key among jobs of equal priority, lowest first. Jobs with a prompt start-time objective are
-// ordered by the time left to meet it. Other jobs, and those that missed their objective, are
-// ordered by age; remaining work moves a job back, so that most jobs of a queue are in time if not
-// all can be.
+// Sort key among jobs of equal priority that are not starved, lowest first. Jobs with a prompt
+// start-time objective come first, then jobs whose longer objective is due soon, both ordered by
+// the time left. Other jobs, and those that missed their objectives, are ordered by age. Remaining
+// work raises the key, so that most jobs of a queue are in time if not all can be.
 double JobQueue::urgency(const Job& job, double now) const {
   // Waiting tasks of a service are missing replicas: their wait counts from when a replica last
   // ended, however old the service is.
--- a/src/placement/job_queue.h
+++ b/src/placement/job_queue.h
@@ -3,8 +3,9 @@
 // JobPlacement::guaranteed and JobPlacement::urgency. Placement rebuilds the queue at the start of
 // every round; the classes that place, preempt and reserve read it.
 //
-// Starved jobs come first. Other jobs are ordered by whether they are within their team's
-// guarantee, then by priority. Ties are broken by urgency (lowest value first), then by job index.
+// Starved jobs come first, beginning with the one that has waited longest. Other jobs are ordered
+// by whether they are within their team's guarantee, then by priority, then by
+// JobPlacement::urgency (lowest value first). Ties are broken by job index.
 
 #include <vector>
 
@@ -31,7 +32,8 @@
   // very large if no task waits.
   const Resources& smallest_request() const { return smallest_request_; }
 
-  // The time since which the job has waited: its acceptance or the last start of one of its tasks.
+  // The time since which the job has waited: the later of its acceptance and its last start
+  // (JobPlacement::last_start).
   static double waiting_since(const Job& job);
   // Whether the job has waited beyond its limit, so that it precedes all jobs that have not.
   static bool is_starved(const Job& job, double now);
--- a/src/placement/machine_reservations.cpp
+++ b/src/placement/machine_reservations.cpp
@@ -16,15 +16,15 @@
 // it has waited this long. Otherwise smaller tasks would take the capacity as it becomes free.
 constexpr double kReserveAfterS = 20;
 constexpr double kMinReservingShare = 0.3;
-constexpr double kReservationS = 3;  // renewed in every preemption round while the job waits
+constexpr double kReservationS = 3;  // renewed in every round that may preempt, while the job waits
 // Limit of the reservations for all jobs together: a share of the ready machines, but at least
 // kMinReservedLimit.
 constexpr double kMaxReservedShare = 0.1;
 constexpr size_t kMinReservedLimit = 2;
 // Shortest interval between two searches for machines to reserve for the same job.
 constexpr double kReserveRetryS = 1;
-// A task that exceeds its expected run time is expected to run for this much longer.
-constexpr double kOverdueEndS = 3;
+// Minimum of the remaining time that a task is expected to run, also beyond its expected run time.
+constexpr double kMinRemainingRunS = 3;
 constexpr double kNever = 1e18;
 
 struct ExpectedEnd {
@@ -90,7 +90,8 @@
     const Attempt& attempt = other.attempts.at(task);
     if (other.is_service() && !attempt.stop) continue;  // replicas do not end by themselves
     const double since = attempt.state == AttemptState::running ? attempt.running_since : now;
-    const double estimate = std::max(since + other.spec.expected_runtime_s, now + kOverdueEndS);
+    const double estimate =
+        std::max(since + other.spec.expected_runtime_s, now + kMinRemainingRunS);
     ends.push_back({attempt.stop ? now : estimate, &other});
   }
   std::sort(ends.begin(), ends.end(), [](const ExpectedEnd& a, const ExpectedEnd& b) {
--- a/src/placement/machine_reservations.h
+++ b/src/placement/machine_reservations.h
@@ -2,7 +2,7 @@
 // Reserves machines for single jobs: until a reservation expires, no other job starts or preempts
 // tasks on the machine. The only class that writes Machine::reserved_for and
 // Machine::reserved_until; counts the machines reserved in the current round. Called by Placement
-// for jobs that have waited, and by Preemption for the job that it frees capacity for.
+// for jobs that have waited, and by Preemption for the job for which it frees capacity.
 
 #include <cstddef>
 #include <cstdint>
@@ -56,7 +56,8 @@
   MachineTable& machines_;
   const Eligibility& eligibility_;
   WorkCounters& work_;
-  size_t reserved_in_round_ = 0;  // machines reserved in this round for jobs that have waited
+  // Machines for which reserve_for_waiting() made or renewed a reservation in this round.
+  size_t reserved_in_round_ = 0;
 };
 
 }  // namespace rookdyke
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -79,10 +79,10 @@
   gangs_.release_reserved_capacity();
 }
 
-// Places the most urgent arrays on machines that already have their image, because an image fetch
-// takes as long as many of their tasks run. An array overtakes others only within kLocalityWindowS
-// and never jobs of higher priority. Returns the first array in the queue, or null if there is
-// none; all jobs before it have been placed.
+// Places the most urgent arrays on machines that already have their image, because many of their
+// tasks run no longer than an image fetch takes. An array overtakes others only within
+// kLocalityWindowS and never jobs of higher priority. Returns the first array in the queue, or null
+// if there is none; all jobs before it have been placed.
 const Job* Placement::place_by_image_locality(PlacementRound& round) {
   const Job* first_array = nullptr;
   int tried = 0;
--- a/src/placement/placement_search.cpp
+++ b/src/placement/placement_search.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Scores are in seconds of image fetch.
+// Scores are expected seconds of image fetch, plus penalties that are weighed against them.
 
 // Penalty of on-demand machines for tasks that may run on spot machines, which leaves on-demand
 // machines to tasks that need them.
@@ -25,8 +25,8 @@
 // has to free capacity first.
 constexpr double kStartTimeS = 1.5;
 constexpr double kLocalStartTimeS = 3;
-// Tolerance for rounding errors in sums of decimal amounts.
-constexpr double kSlack = 1e-9;
+// Absorbs the rounding of sums of decimal amounts.
+constexpr double kRoundingSlack = 1e-9;
 
 }  // namespace
 
@@ -66,7 +66,7 @@
     if (other.attempts.at(task).state > AttemptState::fetching || machine.images.count(other.image))
       continue;
     same_image = same_image || other.image == job.image;
-    others += other.image != last;  // tasks of a job are adjacent, so this counts images
+    others += other.image != last;  // counts images: tasks of a job are mostly adjacent
     last = other.image;
   }
   return same_image ? kSharedFetchFraction * fetch : fetch * (1.0 + static_cast<double>(others));
@@ -113,8 +113,9 @@
   return std::any_of(unplaceable_.begin(), unplaceable_.end(), [&](const UnplaceableRequest& r) {
     return job.zone == r.zone && job.spec.spot == r.spot && job.types == r.types &&
            job.spec.single_zone == r.single_zone && count >= r.count &&
-           r.per_task.cpus <= wanted.cpus + kSlack && r.per_task.gpus <= wanted.gpus + kSlack &&
-           r.per_task.memory_gb <= wanted.memory_gb + kSlack;
+           r.per_task.cpus <= wanted.cpus + kRoundingSlack &&
+           r.per_task.gpus <= wanted.gpus + kRoundingSlack &&
+           r.per_task.memory_gb <= wanted.memory_gb + kRoundingSlack;
   });
 }
 
--- a/src/placement/placement_search.h
+++ b/src/placement/placement_search.h
@@ -22,7 +22,7 @@
 
 // A machine with free capacity for tasks of one job.
 struct PlacementCandidate {
-  double score = 0;  // in seconds of image fetch; lower is better
+  double score = 0;  // equivalent seconds of image fetch; lower is better
   Index machine = kNone;
   uint32_t slots = 0;  // tasks that fit, at most the number of waiting tasks
 };
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -11,21 +11,22 @@
 
 namespace {
 
-// How long a machine stays reserved for the job for which tasks on it were preempted.
+// How long a machine stays reserved for the job that needs the capacity freed on it.
 constexpr double kReservationS = 12;
 // Cost of one second of image fetch, in seconds of lost work. It is high because a victim's
 // checkpoint followed by an image fetch misses most prompt start-time objectives.
 constexpr double kFetchCost = 4;
-// In seconds of lost work. So high that a replica is preempted only as a last resort.
+// Cost of preempting a replica, in seconds of lost work: so high that it is done only as a last
+// resort.
 constexpr double kReplicaCostS = 1e4;
-// In seconds of lost work, in addition to the duration of the checkpoint, or to the whole run time
-// of a task without checkpoints.
+// Fixed costs of preempting a running task, in seconds of lost work: in addition to the duration of
+// its checkpoint, or, for a task without checkpoints, to the time that it has run.
 constexpr double kCheckpointedCostS = 1;
 constexpr double kUncheckpointedCostS = 5;
 // Number of tasks of an array or a service for which capacity is freed at a time.
 constexpr size_t kMaxTasksPerPreemption = 8;
-// Tolerance for rounding errors.
-constexpr double kSlack = 1e-9;
+// Absorbs the rounding of sums of decimal amounts.
+constexpr double kRoundingSlack = 1e-9;
 
 // Whether the victim holds a resource of which too little is available for a task of the job.
 bool holds_scarce_resource(const Job& job, const Resources& available, const Job& victim) {
@@ -36,7 +37,7 @@
          (held.memory_gb > 0 && wanted.memory_gb > available.memory_gb);
 }
 
-// Seconds of work that are lost if the attempt is stopped now.
+// Cost of stopping the attempt now, in seconds of lost work; 0 unless it is running.
 double preemption_cost(const Job& job, const Attempt& attempt, double now) {
   if (job.is_service()) return kReplicaCostS;
   if (attempt.state != AttemptState::running) return 0;
@@ -131,7 +132,7 @@
       unpreemptable_.begin(), unpreemptable_.end(), [&](const UnpreemptableRequest& r) {
         return r.priority == job.spec.priority && !job.placement.guaranteed && r.zone == job.zone &&
                r.spot == job.spec.spot && r.single_zone == job.spec.single_zone &&
-               r.types == job.types && count >= r.count && r.share <= job.share + kSlack;
+               r.types == job.types && count >= r.count && r.share <= job.share + kRoundingSlack;
       });
 }
 
--- a/src/placement/preemption.h
+++ b/src/placement/preemption.h
@@ -63,7 +63,7 @@
     std::vector<Victim> victims;
   };
   // A request for which nothing can be preempted. The same holds for other jobs of this priority
-  // that need at least as much.
+  // that need at least as much and are not within their team's guarantee.
   struct UnpreemptableRequest {
     Priority priority;
     Index zone;
--- a/src/placement/replica_mover.cpp
+++ b/src/placement/replica_mover.cpp
@@ -7,10 +7,12 @@
 
 namespace {
 
-// Share of a service's replicas that may be missing because of a move; one replica may always be.
+// Share of a service's replicas that may be missing while replicas are moved; one may always be
+// missing.
 constexpr double kMaxMissingShare = 0.25;
-// In heartbeat intervals. A shorter notice leaves no time to move replicas one after the other.
-constexpr double kShortNoticeHeartbeats = 1.5;
+// As a multiple of the heartbeat interval: a shorter notice leaves no time to move replicas one
+// after the other.
+constexpr double kShortNoticeIntervals = 1.5;
 
 }  // namespace
 
@@ -61,7 +63,7 @@
 }
 
 void ReplicaMover::on_reclaim_notice(Job& job, Attempt& attempt, double notice_s) {
-  const bool short_notice = notice_s < kShortNoticeHeartbeats * settings_.heartbeat_interval_s;
+  const bool short_notice = notice_s < kShortNoticeIntervals * settings_.heartbeat_interval_s;
   if (short_notice || may_move_replica(job)) lifecycle_.stop(job, attempt, 0);
 }
 
--- a/src/placement/service_placement.cpp
+++ b/src/placement/service_placement.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Scores are in seconds of image fetch.
+// Scores are expected seconds of image fetch, plus penalties that are weighed against them.
 
 // Penalty per replica of the same service on the machine, and in the zone. The machine penalty is
 // more than half of a usual fetch, so that replicas seldom share a machine needlessly, and less
@@ -71,7 +71,7 @@
   if (!has_quota(job)) return PlacementOutcome::limited;
   if (search_.is_known_unplaceable(job, 1)) return PlacementOutcome::insufficient_capacity;
   ReplicaSpread spread = spread_of(job);
-  // A service that fails on every machine is retried with one replica at a time.
+  // A faulty service (see FaultDetector) is retried with one replica at a time.
   uint32_t limit = UINT32_MAX;
   if (FaultDetector::is_faulty(job)) limit = spread.any_starting ? 0 : 1;
   PlacementCandidates found = search_.find(job, round.now, ImageLocality::preferred);
