--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -31,17 +31,17 @@
   if (team == teams.end()) return "unknown team";
 
   // zones_unknown: neither the settings nor a fitting type name the zones in which it is offered.
-  bool fits_in = false, zones_unknown = false;
+  bool any_type_fits = false, zones_unknown = false;
   std::set<std::string> offered;  // zones that offer a machine type that fits a task
   for (const MachineType& t : types) {
     if (!job.types.empty() && !contains(job.types, t.name)) continue;
     if (!job.per_task.fits_in(t.size)) continue;
-    fits_in = true;
-    const auto& in = t.zones.empty() ? zones : t.zones;
-    offered.insert(in.begin(), in.end());
-    zones_unknown = zones_unknown || in.empty();
+    any_type_fits = true;
+    const auto& type_zones = t.zones.empty() ? zones : t.zones;
+    offered.insert(type_zones.begin(), type_zones.end());
+    zones_unknown = zones_unknown || type_zones.empty();
   }
-  if (!fits_in) return "no allowed machine type holds a task";
+  if (!any_type_fits) return "no allowed machine type holds a task";
   if (!job.zone.empty()) {
     if (!zones_unknown && !offered.count(job.zone))
       return "no allowed machine type that holds a task is in its zone";
@@ -50,8 +50,9 @@
   }
   if (over_limit(job, *team)) return "more than the team's limit";
 
-  // All tasks of a gang run at the same time and at most half of them, rounded up, in one zone, so
-  // that a spread gang needs two zones. A spread array may run task by task in one zone.
+  // A spread gang ("scatter" in the request) runs all its tasks at the same time, at most half of
+  // them, rounded up, in one zone, so that it needs two zones. A spread array may run task by task
+  // in one zone.
   if (job.shape == JobShape::gang && job.spread_zones && job.tasks > 1) {
     if (job.single_zone) return "a gang cannot be both scattered and in one zone";
     if (!zones_unknown && offered.size() < 2)
--- a/src/ledger/ledger_cache.cpp
+++ b/src/ledger/ledger_cache.cpp
@@ -29,13 +29,14 @@
 void LedgerCache::put_page(uint32_t n, const nlohmann::json& value, uint64_t version) {
   CachedPage& page = pages_[n];
   if (version <= page.version) return;
-  // Unreadable pages keep their version too. With a wrong version, a leader's conditional write
-  // would fail and it would step down, as would each of its successors.
+  // The version of an unreadable page is recorded too. With an older version, a leader's
+  // conditional write of the page would fail and the leader would step down, as would each of its
+  // successors.
   page.version = version;
   auto decoded = ledger::decode_page(value);
   page.readable = decoded.has_value();
   if (!decoded) {
-    spdlog::error("ledger: page {} cannot be read", n);
+    spdlog::error("ledger: page {} cannot be decoded", n);
     return;
   }
   remove_chunks(n, page);
@@ -69,7 +70,7 @@
   auto row = ledger::decode_job(id, value);
   job.readable = row.has_value();
   if (!row) {
-    spdlog::error("ledger: row {} cannot be read", ledger::job_key(id));
+    spdlog::error("ledger: row {} cannot be decoded", ledger::job_key(id));
     return;
   }
   job.version = version;
@@ -83,7 +84,7 @@
   leader_version_ = version;
   const auto label = value.is_object() ? value.find("label") : value.end();
   const bool readable = label != value.end() && label->is_string();
-  if (!readable) spdlog::error("ledger: the leader key cannot be read");
+  if (!readable) spdlog::error("ledger: the value of the leader key cannot be decoded");
   leader_ = readable ? label->get<std::string>() : "";
 }
 
@@ -91,16 +92,16 @@
   if (version <= types_version_) return;
   types_version_ = version;
   types_ = ledger::decode_types(value);
-  if (types_.empty()) spdlog::error("ledger: the machine types cannot be read");
+  if (types_.empty()) spdlog::error("ledger: the machine types cannot be decoded");
 }
 
-void LedgerCache::put_fleet_row(const std::string& key, const nlohmann::json& value,
-                                uint64_t version) {
-  if (!ledger::fleet_row_number(key)) {
+void LedgerCache::put_rented_list_row(const std::string& key, const nlohmann::json& value,
+                                      uint64_t version) {
+  if (!ledger::rented_list_row_number(key)) {
     spdlog::error("ledger: key {} does not name a row of the rented list", key);
     return;
   }
-  CachedFleetRow& row = fleet_[key];
+  CachedRentedListRow& row = rented_list_rows_[key];
   if (version > row.version) row = {version, value};
 }
 
@@ -116,8 +117,8 @@
     if (value.is_number_unsigned()) read_to_ = std::max(read_to_, value.get<uint64_t>());
   } else if (key == ledger::kTypesKey) {
     put_types(value, version);
-  } else if (starts_with(key, ledger::kFleetPrefix)) {
-    put_fleet_row(key, value, version);
+  } else if (starts_with(key, ledger::kRentedListPrefix)) {
+    put_rented_list_row(key, value, version);
   }
 }
 
@@ -126,9 +127,9 @@
     if (leader_version_ >= version) return;
     leader_.clear();
     leader_version_ = version;
-  } else if (starts_with(key, ledger::kFleetPrefix)) {
-    auto it = fleet_.find(key);
-    if (it != fleet_.end() && it->second.version < version) fleet_.erase(it);
+  } else if (starts_with(key, ledger::kRentedListPrefix)) {
+    auto it = rented_list_rows_.find(key);
+    if (it != rented_list_rows_.end() && it->second.version < version) rented_list_rows_.erase(it);
   }
   // Rows of jobs and pages are never deleted: final states of jobs must be kept.
 }
@@ -141,8 +142,8 @@
 void LedgerCache::end_reload() {
   reloading_ = false;
   if (!reloaded_keys_.count(ledger::kLeaderKey)) leader_.clear();
-  for (auto f = fleet_.begin(); f != fleet_.end();)
-    f = reloaded_keys_.count(f->first) ? std::next(f) : fleet_.erase(f);
+  for (auto f = rented_list_rows_.begin(); f != rented_list_rows_.end();)
+    f = reloaded_keys_.count(f->first) ? std::next(f) : rented_list_rows_.erase(f);
   reloaded_keys_.clear();
 }
 
@@ -169,7 +170,7 @@
     out.done += c.chunk.done.count();
     if (out.status == ledger::JobStatus::open) out.running += c.chunk.live.size();
   }
-  // A page may hold tasks that the job does not have.
+  // A malformed page may hold tasks outside the job.
   out.done = std::min(out.done, j->row.tasks);
   out.running = std::min(out.running, j->row.tasks);
   return out;
--- a/src/ledger/ledger_cache.h
+++ b/src/ledger/ledger_cache.h
@@ -20,7 +20,7 @@
 
 // Identifies a chunk of a job, or a part of one, as held by an entry of a page.
 struct ChunkKey {
-  uint32_t n = 0;
+  uint32_t n = 0;                       // number of the chunk in its job
   std::optional<uint32_t> range_first;  // empty: the whole chunk
 
   bool operator<(const ChunkKey& o) const {
@@ -35,7 +35,7 @@
   std::optional<ledger::TaskRange> range;
 };
 
-// Identifies a chunk in a page's list of chunks.
+// Identifies a chunk, or a part of one, of any job.
 struct CachedChunkRef {
   std::string job;
   ChunkKey key;
@@ -48,7 +48,7 @@
 };
 
 // A row of the rented list, not yet decoded.
-struct CachedFleetRow {
+struct CachedRentedListRow {
   uint64_t version = 0;
   nlohmann::json value;
 };
@@ -70,21 +70,22 @@
 // Not thread-safe.
 class LedgerCache {
  public:
-  // Applies a row, or its deletion, from a read or a watch. Ignored unless it is newer than the
-  // cached version.
+  // Apply a row, or the deletion of one, from a read or a watch. A row or deletion that is not
+  // newer than the cached row is ignored.
   void put(const std::string& key, const nlohmann::json& value, uint64_t version);
   void erase(const std::string& key, uint64_t version);
 
-  // Bracket a full read of the ledger, during which every row is passed to put(). end_reload()
-  // removes the leader and the rented-list rows that were not; job and page rows are never deleted.
+  // Called before and after a full read of the ledger, during which every row is passed to put().
+  // end_reload() removes the leader and the rows of the rented list if the read did not contain
+  // them; rows of jobs and pages are never deleted.
   void begin_reload();
   void end_reload();
 
   // Both return empty (null) if the job is not known.
   std::optional<JobProgress> job_progress(const std::string& job) const;
   const CachedJob* job(const std::string& id) const;
-  // Whether the job has a row that cannot be decoded. Users must then be told neither that the job
-  // exists nor that it does not.
+  // Whether the job has a row that cannot be decoded. User requests for the job must then be
+  // refused: its state is not known, and a 404 would be wrong.
   bool is_unreadable(const std::string& id) const;
   const std::unordered_map<std::string, CachedJob>& jobs() const { return jobs_; }
 
@@ -96,14 +97,16 @@
   uint64_t last_cancellation_version() const { return last_cancellation_version_; }
   const std::vector<MachineType>& types() const { return types_; }
   uint64_t types_version() const { return types_version_; }
-  const std::map<std::string, CachedFleetRow>& fleet() const { return fleet_; }
+  const std::map<std::string, CachedRentedListRow>& rented_list_rows() const {
+    return rented_list_rows_;
+  }
   const std::map<uint32_t, CachedPage>& pages() const { return pages_; }
 
  private:
   void put_job(const std::string& id, const nlohmann::json& value, uint64_t version);
   void put_leader(const nlohmann::json& value, uint64_t version);
   void put_types(const nlohmann::json& value, uint64_t version);
-  void put_fleet_row(const std::string& key, const nlohmann::json& value, uint64_t version);
+  void put_rented_list_row(const std::string& key, const nlohmann::json& value, uint64_t version);
   void put_page_row(const std::string& key, const nlohmann::json& value, uint64_t version);
   void remove_chunks(uint32_t page_number, CachedPage& page);
   void put_page(uint32_t n, const nlohmann::json& value, uint64_t version);
@@ -116,7 +119,7 @@
   uint64_t last_cancellation_version_ = 0;
   std::vector<MachineType> types_;
   uint64_t types_version_ = 0;
-  std::map<std::string, CachedFleetRow> fleet_;  // by key
+  std::map<std::string, CachedRentedListRow> rented_list_rows_;  // by key
   bool reloading_ = false;
   std::unordered_set<std::string> reloaded_keys_;  // keys put since begin_reload()
 };
--- a/src/ledger/page.h
+++ b/src/ledger/page.h
@@ -15,14 +15,14 @@
 
 namespace rookdyke {
 
-// Kind of the jobs whose chunks share a page: services, jobs with a start-time objective, all
-// others. Kinds are kept apart so that urgent writes neither wait for other chunks nor carry their
-// bytes.
+// Kind of the jobs whose chunks share a page: services, other jobs that need a prompt start, and
+// all others. Kinds are kept apart so that urgent writes neither wait for other chunks nor carry
+// their bytes.
 enum class PageKind : uint8_t { regular, start_objective, service };
 
-// Urgency of a page write, most urgent first: replicas of a service, starts of jobs with a
-// start-time objective, other starts, tasks that have to be restarted, changes that nothing waits
-// for.
+// Urgency of a page write, most urgent first: starts and ends of a service's replicas, starts of
+// other jobs that need a prompt start, other starts, ends of tasks that have to run again, changes
+// that nothing waits for.
 enum class WriteUrgency : uint8_t { replica, start_objective, start, restart, none };
 
 // Identifies a chunk (consecutive tasks of a job) by the job and its first task.
@@ -43,7 +43,7 @@
   std::set<ChunkRef> chunks;
   // Entries of jobs whose rows cannot be decoded. They are kept as they are.
   std::vector<ledger::PageEntry> unreadable_jobs;
-  bool readable = true;  // an unreadable page is never written
+  bool readable = true;  // false: no new chunks are assigned to it, so that it is not overwritten
   // Number of pages that took chunks from this page and are not durable yet. Until they are, the
   // stored version of this page is the only durable copy of those chunks.
   uint32_t pending_split_pages = 0;
--- a/src/ledger/page_table.cpp
+++ b/src/ledger/page_table.cpp
@@ -11,7 +11,7 @@
   return pages_[page];
 }
 
-// Jobs with a start-time objective have pages of their own, so that one write makes many of their
+// Jobs that need a prompt start have pages of their own, so that one write makes many of their
 // starts durable. Pages are filled only up to the lowered limits, which the state service may apply
 // at any time.
 Index PageTable::find_or_add_page(size_t bytes, PageKind kind) {
--- a/src/ledger/page_table.h
+++ b/src/ledger/page_table.h
@@ -25,7 +25,7 @@
   // Returns the page with the given number, adding pages up to it if necessary.
   Page& get_or_add(Index page);
 
-  // Returns a page without entries that is neither in flight nor involved in a split.
+  // Returns a readable page without entries that is neither in flight nor part of a split.
   Index find_or_add_empty_page(PageKind kind);
   // Adds the chunk that begins with task `first` to a page, or removes it from its page.
   void add_chunk(Job& job, uint32_t first, Index page);
@@ -38,10 +38,10 @@
 
   // Highest version among unreadable pages. Such a page may hold tasks of any job whose row is
   // older.
-  uint64_t unreadable_revision = 0;
+  uint64_t highest_unreadable_version = 0;
 
  private:
-  // Returns a page of the given kind with the given free capacity in bytes.
+  // Returns a page of the given kind with at least `bytes` bytes of free capacity.
   Index find_or_add_page(size_t bytes, PageKind kind);
 
   const Settings& settings_;
--- a/src/ledger/rented_list.cpp
+++ b/src/ledger/rented_list.cpp
@@ -16,9 +16,10 @@
 // later.
 constexpr double kWriteIntervalS = 4;
 // After this interval, a write has priority over page writes. With an outdated list, a successor
-// counts machines that have been returned and rents no others until the cloud's list shows it.
+// counts returned machines as rented and rents no replacements until the cloud's list shows that
+// they are gone.
 constexpr double kMaxWriteDelayS = 6;
-constexpr size_t kReservedMachineBytes = 24;  // in a row, for each machine
+constexpr size_t kReservedMachineBytes = 24;  // bytes of a row reserved for each machine
 constexpr size_t kMaxRowsPerTransaction = 4;  // a transaction is limited to 64 KiB
 
 bool is_valid_group(const json& group) {
@@ -51,12 +52,12 @@
                                             NameTable& zones) {
   std::vector<RentedMachine> machines;
   for (const auto& [key, row] : rows) {
-    const auto number = ledger::fleet_row_number(key);
+    const auto number = ledger::rented_list_row_number(key);
     if (!number) continue;
     const json& value = row.value;
-    row_revisions_[key] = row.version;
+    row_versions_[key] = row.version;
     if (!value.is_object() || !value.contains("machines") || !value["machines"].is_array()) {
-      spdlog::error("ledger: row {} cannot be read", key);
+      spdlog::error("ledger: row {} cannot be decoded", key);
       unreadable_rows_.insert(*number);
       continue;
     }
@@ -101,9 +102,9 @@
     const uint32_t row = *changed_rows_.begin();
     changed_rows_.erase(changed_rows_.begin());
     if (unreadable_rows_.count(row)) continue;
-    const std::string key = ledger::fleet_key(row);
-    const auto known = row_revisions_.find(key);
-    transaction.conditions.push_back({key, known == row_revisions_.end() ? 0 : known->second});
+    const std::string key = ledger::rented_list_key(row);
+    const auto known = row_versions_.find(key);
+    transaction.conditions.push_back({key, known == row_versions_.end() ? 0 : known->second});
     json value = {{"machines", encode_row(row, machine, types, zones)},
                   {"w", transaction.transaction_id}};
     transaction.changes.push_back({key, false, std::move(value), 0});
@@ -114,9 +115,9 @@
   in_flight_ = false;
   for (const ledger::Change& change : transaction.changes) {
     if (result.outcome == ledger::Outcome::applied)
-      row_revisions_[change.key] = result.revision;
+      row_versions_[change.key] = result.revision;
     else
-      changed_rows_.insert(ledger::fleet_row_number(change.key).value());
+      changed_rows_.insert(ledger::rented_list_row_number(change.key).value());
   }
 }
 
--- a/src/ledger/rented_list.h
+++ b/src/ledger/rented_list.h
@@ -18,7 +18,7 @@
 
 namespace rookdyke {
 
-// A machine on the list; its type is kNone if the cloud does not offer it any more.
+// A machine on the list. `type` is kNone if the cloud no longer offers the machine's type.
 struct RentedMachine {
   std::string name;
   Index type = kNone, zone = kNone;
@@ -28,7 +28,7 @@
 class RentedList {
  public:
   // The list's rows in the ledger, by key.
-  using Rows = std::map<std::string, CachedFleetRow>;
+  using Rows = std::map<std::string, CachedRentedListRow>;
   // Returns the machine with the given index; empty if there is none or it is not to be listed.
   using Lookup = std::function<std::optional<RentedMachine>(Index)>;
 
@@ -36,7 +36,7 @@
   explicit RentedList(size_t value_bytes);
 
   // Reads the list that a predecessor wrote. All its rows count as changed. Entries that cannot be
-  // read are skipped; new zones get an index.
+  // decoded are skipped; new zones get an index.
   std::vector<RentedMachine> load(const Rows& rows, const NameTable& types, NameTable& zones);
 
   // Marks the machine's row as changed.
@@ -45,7 +45,7 @@
   // Whether a write may begin: there are changes, no write is in flight, and the minimum interval
   // since the last one has passed.
   bool can_write(double now) const;
-  // Whether the last write began so long ago that the next one has priority over all other writes.
+  // Whether the last write began so long ago that the next one has priority over page writes.
   bool overdue(double now) const;
   // Begins a write: adds changed rows and their conditions to a transaction of at most
   // transaction_rows changes. Requires can_write(now).
@@ -61,7 +61,7 @@
   uint32_t machines_per_row_;
   std::set<uint32_t> changed_rows_;
   std::set<uint32_t> unreadable_rows_;  // never written
-  std::map<std::string, uint64_t> row_revisions_;
+  std::map<std::string, uint64_t> row_versions_;
   std::optional<double> write_began_at_;  // of the last write
   bool in_flight_ = false;
 };
--- a/src/ledger/rows.cpp
+++ b/src/ledger/rows.cpp
@@ -9,8 +9,8 @@
 
 std::string job_key(const std::string& job) { return kJobPrefix + job; }
 std::string page_key(uint32_t n) { return kPagePrefix + std::to_string(n); }
-std::string fleet_key(uint32_t n) { return kFleetPrefix + std::to_string(n); }
-std::optional<uint32_t> fleet_row_number(const std::string& key) {
+std::string rented_list_key(uint32_t n) { return kRentedListPrefix + std::to_string(n); }
+std::optional<uint32_t> rented_list_row_number(const std::string& key) {
   uint32_t n = 0;
   const char* end = key.data() + key.size();
   const auto [p, ec] = std::from_chars(key.data() + key.rfind('/') + 1, end, n);
--- a/src/ledger/rows.h
+++ b/src/ledger/rows.h
@@ -6,11 +6,11 @@
 //                    it cannot reach directly
 //   rd/types         machine types, so that all controllers reject the same jobs with 422
 //   rd/j/<job>       a job: its description until it is done; its final state is kept for ever
-//   rd/t/<n>         a page: chunks of tasks of several jobs. A chunk covers the tasks
-//                    [k*per, (k+1)*per) of a job: the tasks that are done, the attempts that may be
-//                    on a machine, and the highest attempt number used. If two pages hold the same
-//                    tasks, the one written last is valid: a chunk is moved by writing it to
-//                    another page.
+//   rd/t/<n>         a page: chunks of tasks of several jobs. Chunk k of a job covers its tasks
+//                    [k*per, (k+1)*per), where `per` is JobRow::chunk_size. It states which of them
+//                    are done, the attempts that may be on a machine, and the highest attempt
+//                    number used. If two pages hold the same tasks, the one written last is valid:
+//                    a chunk is moved by writing it to another page.
 //   rd/f/<n>         names of rented machines (the rented list)
 //
 // Tasks are grouped into chunks because a job has up to 100,000 tasks and values are limited in
@@ -35,13 +35,13 @@
 inline constexpr const char* kReadToKey = "rd/read_to";
 inline constexpr const char* kJobPrefix = "rd/j/";
 inline constexpr const char* kPagePrefix = "rd/t/";
-inline constexpr const char* kFleetPrefix = "rd/f/";
+inline constexpr const char* kRentedListPrefix = "rd/f/";
 
 std::string job_key(const std::string& job);
 std::string page_key(uint32_t n);
-std::string fleet_key(uint32_t n);
+std::string rented_list_key(uint32_t n);
 // The number in a key of the form rd/f/<n>; empty if the key has none.
-std::optional<uint32_t> fleet_row_number(const std::string& key);
+std::optional<uint32_t> rented_list_row_number(const std::string& key);
 
 // Upper bounds on the tasks of a job, the pages of a ledger and attempt numbers. Rows with larger
 // values are treated as unreadable, since processing them could exhaust memory or time.
@@ -85,7 +85,7 @@
 // A chunk, or a part of one, as stored in a page.
 struct PageEntry {
   std::string job;
-  uint32_t n = 0;
+  uint32_t n = 0;  // number of the chunk in its job
   Chunk chunk;
   // The part of the chunk that this entry holds; empty: the whole chunk. Parts are written only
   // after the state service has lowered its limits, which happens once all controllers support
@@ -116,8 +116,9 @@
 size_t estimated_chunk_size(const std::string& job, uint32_t tasks);
 // The bytes available for entries in a page whose value is limited to `value_bytes`.
 size_t page_capacity(size_t value_bytes);
-// Upper bounds of the size in a page of an attempt, and of an entry without its attempts.
+// Upper bound of the bytes that an attempt takes in a page.
 size_t encoded_size(const LiveAttempt& live);
+// Upper bound of the bytes that an entry takes in a page, without its attempts.
 size_t encoded_size(const std::string& job, const TaskSet& done);
 
 json encode(const JobRow& row);
@@ -151,7 +152,9 @@
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Change> changes;
-  std::string transaction_id;  // also stored in the first written value
+  // Also stored (field "w") in the rows that resent transactions write, so that is_written_by() can
+  // tell whether an earlier copy was applied.
+  std::string transaction_id;
 };
 
 enum class Outcome : uint8_t {
@@ -164,7 +167,7 @@
 struct Result {
   Outcome outcome = Outcome::unknown;
   uint64_t revision = 0;
-  std::vector<std::string> failed;
+  std::vector<std::string> failed;  // keys of the conditions that failed
 };
 
 }  // namespace rookdyke::ledger
--- a/src/ledger_writer/job_closer.h
+++ b/src/ledger_writer/job_closer.h
@@ -21,10 +21,10 @@
   JobCloser(const Settings& settings, JobTable& jobs, TaskLifecycle& lifecycle)
       : settings_(settings), jobs_(jobs), lifecycle_(lifecycle) {}
 
-  // Whether the next transaction should write final states; called once for each transaction. If
-  // true, a new batching interval begins. Final states are written in batches, but users must see
-  // them within 3 s. `starts_pending`: the page to write next has starts, which go first until the
-  // batching interval ends.
+  // Returns whether the next transaction should write final states, and if so begins a new batching
+  // interval. Called once for each transaction. `starts_pending`: the page to write next contains
+  // starts. They have priority until the batching interval ends, so that final states are written
+  // in batches; the interval is short because users must see final states within 3 s.
   bool start_batch_if_due(double now, bool starts_pending);
   // Returns completed jobs whose final state may be written now, at most as many as fit one
   // transaction. `max_changes` limits them further, but never below a minimum of a few jobs.
--- a/src/ledger_writer/ledger_limits.h
+++ b/src/ledger_writer/ledger_limits.h
@@ -27,7 +27,7 @@
   bool are_lowered() const { return lowered_; }
 
   // The bytes that the entries of a page may take now. PageTable fills pages only up to the lowered
-  // limits; pages from before may hold more until the limits are lowered.
+  // limits; pages that hold more already may be written until the limits are lowered.
   size_t page_capacity() const {
     return ledger::page_capacity(lowered_ ? settings_.lasting_value_bytes()
                                           : settings_.value_bytes);
--- a/src/ledger_writer/ledger_writer.cpp
+++ b/src/ledger_writer/ledger_writer.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Intervals after which a transaction of which a copy may still be executed is resent.
+// Intervals after which a transaction of indeterminate outcome is resent: after a lost response,
+// and after a resent copy was refused.
 constexpr double kIndeterminateResendIntervalS = 0.3;
 constexpr double kRefusedResendIntervalS = 0.5;
 
@@ -112,7 +113,7 @@
 bool LedgerWriter::on_result(uint64_t id, const ledger::Result& result, double now) {
   const auto it = in_flight_.find(id);
   if (it == in_flight_.end()) return false;
-  if (schedule_resend_if_undecided(it->second, result.outcome, now)) return false;
+  if (schedule_resend_if_indeterminate(it->second, result.outcome, now)) return false;
   if (result.outcome == Outcome::rejected) {
     on_rejection(it->second.write.transaction);
     // An earlier copy may still be executed. Once the leadership ends, the condition on the leader
@@ -127,14 +128,14 @@
   for (const Index index : write.jobs)
     if (Job* job = jobs_.find(index)) --job->in_flight_transactions;
   if (result.outcome == Outcome::conflict && !resolve_conflicts(result.failed, now)) return false;
-  const bool frees_tasks = apply_result(write, result, now);
+  const bool released_attempts = apply_result(write, result, now);
   apply_deferred_job_changes(write.jobs);
-  return frees_tasks;
+  return released_attempts;
 }
 
 // Schedules a resend if a copy of the transaction may still be executed; returns whether it may.
-bool LedgerWriter::schedule_resend_if_undecided(InFlightTransaction& in_flight, Outcome outcome,
-                                                double now) {
+bool LedgerWriter::schedule_resend_if_indeterminate(InFlightTransaction& in_flight, Outcome outcome,
+                                                    double now) {
   if (outcome == Outcome::unknown) {
     in_flight.resend_at = now + kIndeterminateResendIntervalS;
     return true;
@@ -163,7 +164,7 @@
 
 // Marks jobs whose row has changed as stale until the watch delivers the new row. Returns false if
 // the conflict shows that this controller is no longer the leader or that another writer has
-// changed its rows.
+// changed a page or the rented list.
 bool LedgerWriter::resolve_conflicts(const std::vector<std::string>& failed_keys, double now) {
   for (const std::string& key : failed_keys) {
     if (key == ledger::kLeaderKey) {
@@ -183,7 +184,7 @@
   return true;
 }
 
-// Returns whether tasks can be started again.
+// Returns whether ended attempts were released.
 bool LedgerWriter::apply_result(const LedgerWrite& write, const ledger::Result& result,
                                 double now) {
   if (const auto* page = std::get_if<PageWrite>(&write.content))
--- a/src/ledger_writer/ledger_writer.h
+++ b/src/ledger_writer/ledger_writer.h
@@ -4,9 +4,9 @@
 // RentedListWriter create the transactions' contents and handle their results. Called by the
 // scheduler. Single-threaded; all times are arguments.
 //
-// Every transaction is conditional on the leader key, so that none of a former leader is applied. A
-// transaction with an indeterminate outcome is resent unchanged until the outcome is known; until
-// then, no other transaction writes its rows.
+// Every transaction is conditional on the leader key, so that no transaction of a former leader is
+// applied. A transaction with an indeterminate outcome is resent unchanged until the outcome is
+// known; until then, no other transaction writes its rows.
 
 #include <cstddef>
 #include <cstdint>
@@ -53,7 +53,8 @@
   // final states of jobs, of which a few are always permitted.
   std::optional<PendingTransaction> next_transaction(double now, size_t max_changes);
   // Handles the result of a transaction; its outcome is `unknown` if the response was lost. Returns
-  // whether tasks can be started again, which calls for a scheduling round soon.
+  // whether ended attempts were released. Their tasks may then be startable again, which calls for
+  // a scheduling round soon.
   bool on_result(uint64_t id, const ledger::Result& result, double now);
 
   // The number of completed jobs and dirty pages to be written and of transactions in flight.
@@ -66,7 +67,7 @@
  private:
   struct InFlightTransaction {
     LedgerWrite write;
-    std::optional<double> resend_at;  // set if a copy may still be executed
+    std::optional<double> resend_at;  // empty while the response to a copy is awaited
     bool was_resent = false;
   };
 
@@ -77,8 +78,8 @@
   std::optional<PendingTransaction> close_jobs(double now, size_t max_changes);
   std::optional<PendingTransaction> write_rented_list(double now);
 
-  static bool schedule_resend_if_undecided(InFlightTransaction& in_flight, ledger::Outcome outcome,
-                                           double now);
+  static bool schedule_resend_if_indeterminate(InFlightTransaction& in_flight,
+                                               ledger::Outcome outcome, double now);
   void on_rejection(const ledger::Transaction& transaction);
   bool resolve_conflicts(const std::vector<std::string>& failed_keys, double now);
   bool apply_result(const LedgerWrite& write, const ledger::Result& result, double now);
--- a/src/ledger_writer/page_writer.cpp
+++ b/src/ledger_writer/page_writer.cpp
@@ -18,7 +18,7 @@
 // not reach the urgency of replicas, whose writes are few.
 constexpr double kUrgencyStepIntervalS = 8;
 constexpr size_t kConditionsPerChange = 4;  // the state service's limit
-// Delay of the next write after one without free capacity for all starts.
+// Delay before a page is written again after a write that omitted some starts.
 constexpr double kOmittedStartsRetryS = 0.1;
 
 // Sort key of dirty pages; the smallest is written first.
@@ -60,7 +60,7 @@
   size_t size = 0;  // bytes of its entries
   std::vector<Start> starts;
   std::vector<TaskRef> started, ended;
-  bool has_omitted_starts = false;  // some do not fit this write
+  bool has_omitted_starts = false;  // some starts do not fit into this write
 
   // The jobs of all attempts whose start or end is included.
   std::vector<Index> jobs() const {
@@ -155,19 +155,19 @@
 // is resent or delayed.
 void PageWriter::add_starts(Draft& draft, std::vector<ledger::Condition>& conditions) {
   const size_t max_conditions = kConditionsPerChange * settings_.lasting_txn_ops();
-  std::set<Index> guarded;  // jobs whose version is among the conditions
+  std::set<Index> jobs_with_condition;  // jobs whose version is among the conditions
   for (const Draft::Start& start : draft.starts) {
     const Job& job = *start.job;
     if (job.state != JobState::open || job.is_stale()) continue;
     const ledger::LiveAttempt live = content_.live_attempt(*start.attempt);
-    const bool needs_guard = !guarded.count(job.id);
+    const bool needs_condition = !jobs_with_condition.count(job.id);
     if (draft.size + ledger::encoded_size(live) > limits_.page_capacity() ||
-        (needs_guard && conditions.size() >= max_conditions)) {
+        (needs_condition && conditions.size() >= max_conditions)) {
       draft.has_omitted_starts = true;
       continue;
     }
-    if (needs_guard) {
-      guarded.insert(job.id);
+    if (needs_condition) {
+      jobs_with_condition.insert(job.id);
       conditions.push_back({ledger::job_key(job.spec.id), job.version});
     }
     draft.size += ledger::encoded_size(live);
--- a/src/ledger_writer/page_writer.h
+++ b/src/ledger_writer/page_writer.h
@@ -30,8 +30,9 @@
         pages_(pages),
         lifecycle_(lifecycle) {}
 
-  // The page to write next, by urgency and then by age; empty if there is none. Ends of completed
-  // tasks alone are batched, as workers list them until they are durable.
+  // The page to write next, by urgency and then by age; empty if there is none. A page whose only
+  // changes are ends of completed tasks is written after a delay, since workers list these tasks
+  // until their ends are durable.
   std::optional<Index> next_page(double now) const;
   // Whether starts of tasks wait for the page to be written.
   bool has_pending_starts(Index page) const;
@@ -41,8 +42,8 @@
   // Adds the page to a transaction that has its id and the condition on the leader key, and marks
   // the page as in flight. Withdraws proposals that are no longer valid.
   LedgerWrite begin_write(Index page, ledger::Transaction transaction, double now);
-  // Handles the result of a page write. Its outcome must not be `unknown`. Returns whether tasks
-  // can be started again.
+  // Handles the result of a page write. Its outcome must not be `unknown`. Returns whether ended
+  // attempts were released.
   bool on_result(const PageWrite& write, const std::vector<Index>& jobs,
                  const ledger::Result& result, double now);
 
--- a/src/ledger_writer/rented_list_writer.cpp
+++ b/src/ledger_writer/rented_list_writer.cpp
@@ -6,7 +6,7 @@
 
 void RentedListWriter::load(const LedgerCache& ledger, double now) {
   for (const RentedMachine& rented :
-       rented_list_.load(ledger.fleet(), catalog_.type_names, catalog_.zones)) {
+       rented_list_.load(ledger.rented_list_rows(), catalog_.type_names, catalog_.zones)) {
     Machine& machine = machines_.get_or_add(rented.name, now);
     machine.type = rented.type;
     machine.zone = rented.zone;
--- a/src/quota/team_usage.cpp
+++ b/src/quota/team_usage.cpp
@@ -3,7 +3,7 @@
 namespace rookdyke {
 
 namespace {
-constexpr double kRoundingSlack = 1e-9;
+constexpr double kRoundingSlack = 1e-9;  // absorbs rounding errors in sums of CPUs or GPUs
 }  // namespace
 
 TeamUsage::TeamUsage(const Settings& settings, const Catalog& catalog)
@@ -28,18 +28,19 @@
 bool TeamUsage::within_limit(Index team, const Resources& per_task, uint32_t count) const {
   const TeamQuota* limit = quota(team);
   if (!limit) return false;
-  const Resources now = used(team);
-  if (limit->cpus_max > 0 && now.cpus + per_task.cpus * count > limit->cpus_max + kRoundingSlack)
+  const Resources usage = used(team);
+  if (limit->cpus_max > 0 && usage.cpus + per_task.cpus * count > limit->cpus_max + kRoundingSlack)
     return false;
   return limit->gpus_max <= 0 ||
-         now.gpus + per_task.gpus * count <= limit->gpus_max + kRoundingSlack;
+         usage.gpus + per_task.gpus * count <= limit->gpus_max + kRoundingSlack;
 }
 
 bool TeamUsage::exceeds_guarantee(Index team) const {
   const TeamQuota* guarantee = quota(team);
   if (!guarantee) return false;
-  const Resources now = used(team);
-  return now.cpus > guarantee->cpus + kRoundingSlack || now.gpus > guarantee->gpus + kRoundingSlack;
+  const Resources usage = used(team);
+  return usage.cpus > guarantee->cpus + kRoundingSlack ||
+         usage.gpus > guarantee->gpus + kRoundingSlack;
 }
 
 }  // namespace rookdyke
--- a/src/quota/team_usage.h
+++ b/src/quota/team_usage.h
@@ -17,7 +17,7 @@
   // `settings` must outlive this object, and its teams must not change.
   TeamUsage(const Settings& settings, const Catalog& catalog);
 
-  // `team` is an index of the catalog.
+  // Adds or removes the resources of one task. `team` is an index of Catalog::teams.
   void add(Index team, const Resources& task);
   void remove(Index team, const Resources& task);
 
--- a/src/scheduler/job_loader.cpp
+++ b/src/scheduler/job_loader.cpp
@@ -10,14 +10,15 @@
 
 namespace {
 
-// The tasks up to `end`, exclusive, whose state is taken from `chunk`.
+// Consecutive tasks whose state is taken from `chunk`, up to `end` (exclusive). The first task is
+// the slice's key in ChunkSlices.
 struct ChunkSlice {
   uint32_t end = 0;
   const CachedChunk* chunk = nullptr;
 };
 using ChunkSlices = std::map<uint32_t, ChunkSlice>;  // by first task, disjoint
 
-// The tasks that an entry of the ledger holds; nullopt if they are not within the job's tasks.
+// The tasks that a page's entry holds; nullopt if they are not within the job's chunk `key.n`.
 std::optional<ledger::TaskRange> tasks_of(const Job& job, const ChunkKey& key,
                                           const CachedChunk& chunk) {
   const uint64_t begin = uint64_t{key.n} * job.chunk_size;
@@ -47,21 +48,22 @@
   slices[first] = slice;
 }
 
-// Logs how many entries of a chunk name tasks outside it. load_tasks() ignores these tasks.
-void log_foreign_tasks(const Job& job, const ChunkKey& key, const CachedChunk& cached,
-                       const ledger::TaskRange& tasks) {
+// Logs how many ranges of done tasks and attempts of a chunk extend outside it. load_tasks()
+// ignores the tasks outside.
+void log_tasks_outside_chunk(const Job& job, const ChunkKey& key, const CachedChunk& cached,
+                             const ledger::TaskRange& tasks) {
   const uint32_t end = tasks.first + tasks.count;
-  size_t foreign = 0;
-  for (const auto& [a, b] : cached.chunk.done.ranges()) foreign += a < tasks.first || b >= end;
+  size_t outside = 0;
+  for (const auto& [a, b] : cached.chunk.done.ranges()) outside += a < tasks.first || b >= end;
   for (const ledger::LiveAttempt& live : cached.chunk.live)
-    foreign += live.task < tasks.first || live.task >= end;
-  if (foreign > 0)
-    spdlog::error("ledger: chunk {} of job {}: {} entries name tasks outside it", key.n,
-                  job.spec.id, foreign);
+    outside += live.task < tasks.first || live.task >= end;
+  if (outside > 0)
+    spdlog::error("ledger: chunk {} of job {}: {} done ranges or attempts extend outside the chunk",
+                  key.n, job.spec.id, outside);
 }
 
-// Resolves which entry of the ledger holds each task. If several pages hold the same task, the page
-// that was written last takes precedence (ledger/rows.h).
+// Determines which page entry holds the valid state of each task. If several pages hold the same
+// task, the page that was written last takes precedence (ledger/rows.h).
 ChunkSlices latest_slices(Job& job, const CachedJob& row) {
   std::vector<std::pair<const ChunkKey*, const CachedChunk*>> by_version;
   for (const auto& [key, chunk] : row.chunks) by_version.emplace_back(&key, &chunk);
@@ -72,13 +74,14 @@
   for (const auto& [key, cached] : by_version) {
     const auto tasks = tasks_of(job, *key, *cached);
     if (!tasks) {
-      spdlog::error("ledger: job {}: ignored chunk {}, whose tasks are not of the job", job.spec.id,
-                    key->n);
+      spdlog::error(
+          "ledger: job {}: ignored chunk {}, because its tasks lie outside the chunk or the job",
+          job.spec.id, key->n);
       continue;
     }
     job.highest_attempt = std::max(job.highest_attempt, cached->chunk.highest_attempt);
     overlay(slices, tasks->first, {tasks->first + tasks->count, cached});
-    log_foreign_tasks(job, *key, *cached, *tasks);
+    log_tasks_outside_chunk(job, *key, *cached, *tasks);
   }
   return slices;
 }
@@ -126,8 +129,9 @@
   for (const Objective& objective : settings_.objectives) {
     if (!objective.start || objective.job_class != job.spec.job_class) continue;
     job.start_within.push_back(objective.within_s);
-    // A machine rented for the job would boot too late for an objective shorter than the boot time.
-    // For a longer objective, the order of jobs in the queue is sufficient.
+    // If the objective is shorter than the boot time, a machine rented for the job would boot too
+    // late, so that the job needs a prompt start on capacity that is there already. For a longer
+    // objective, the order of jobs in the queue is sufficient.
     job.has_start_promise = job.has_start_promise || objective.within_s < boot_s;
   }
   std::sort(job.start_within.begin(), job.start_within.end());
@@ -141,7 +145,7 @@
 // may hold the chunk, and its tasks may be running, so they are not started.
 void JobLoader::collect_waiting_tasks(Job& job, uint64_t version) {
   for (const auto& [first, place] : job.chunks) {
-    if (place.page == kNone && version < pages_.unreadable_revision) continue;
+    if (place.page == kNone && version < pages_.highest_unreadable_version) continue;
     for (uint32_t task = first; task < first + place.count; ++task)
       if (!job.done.has(task) && !job.attempts.count(task))
         job.waiting.insert(job.waiting.end(), task);
@@ -202,7 +206,8 @@
     page.version = cached.version;
     page.readable = cached.readable;
     if (!cached.readable)
-      pages_.unreadable_revision = std::max(pages_.unreadable_revision, cached.version);
+      pages_.highest_unreadable_version =
+          std::max(pages_.highest_unreadable_version, cached.version);
   }
 }
 
@@ -224,7 +229,7 @@
     for (auto& [task, attempt] : job.attempts) lifecycle_.stop(job, attempt, 0);
 }
 
-// Keeps the chunks of a job whose row cannot be read unchanged in their pages.
+// Keeps the chunks of a job whose row is missing or cannot be decoded unchanged in their pages.
 void JobLoader::keep_unreadable_job(const std::string& id, const CachedJob& row) {
   for (const auto& [key, cached] : row.chunks) {
     Page& page = pages_.get_or_add(cached.page);
@@ -244,7 +249,8 @@
   if (!job) {
     if (row.row.status != ledger::JobStatus::open) return false;
     add_job(row, id, now);
-    spdlog::debug("job {}: added {} tasks of class {}", id, row.row.tasks, row.row.spec->job_class);
+    spdlog::debug("job {}: added with {} tasks of class {}", id, row.row.tasks,
+                  row.row.spec->job_class);
     return true;
   }
   if (row.version <= job->version) return false;
--- a/src/scheduler/job_loader.h
+++ b/src/scheduler/job_loader.h
@@ -1,6 +1,7 @@
 #pragma once
 // Builds jobs from the ledger's rows: all rows when a new leader takes over, single rows when users
-// submit or cancel jobs. Unreadable rows are logged, left unchanged and not used for decisions.
+// submit or cancel jobs. No job is created from rows that cannot be decoded; LedgerCache logs them,
+// and the chunks of their jobs stay unchanged in the ledger.
 
 #include <cstdint>
 #include <map>
@@ -29,11 +30,12 @@
         lifecycle_(lifecycle),
         claim_(claim) {}
 
-  // Sets the difference between the time of day and the steady clock, in seconds. It is needed to
-  // compute the age of jobs that were accepted before a failover.
+  // Sets the time of day minus the steady clock's time, in seconds. It converts the times of day in
+  // job rows, so that a failover resets neither the ages of jobs nor their cancellation deadlines.
   void set_time_of_day_offset(double offset_s) { time_of_day_offset_ = offset_s; }
 
-  // Loads all committed rows. `ledger` must be current as of a read barrier.
+  // Loads all committed rows. `ledger` must have passed a read barrier since this controller became
+  // the leader, so that it contains everything that its predecessors committed.
   void load(const LedgerCache& ledger, double now);
   // Applies a new or changed job row. Returns whether it added a job.
   bool on_job_row(const CachedJob& row, const std::string& id, double now);
--- a/src/scheduler/job_table.h
+++ b/src/scheduler/job_table.h
@@ -17,10 +17,10 @@
  public:
   using Jobs = std::vector<std::unique_ptr<Job>>;
 
-  // Adds a job with that name and replaces an existing one. Only Job::id is set.
+  // Adds a job with that name, replacing an existing one. Only Job::id of the new job is set.
   Job& add(const std::string& name);
-  // Removes a finished job. was_erased() stays true for its index, so that the job is not added
-  // again.
+  // Removes a finished job. From then on was_erased() is true for its index, so that a late row
+  // does not add the job again.
   void erase(Index job);
   bool was_erased(Index job) const { return job < erased_.size() && erased_[job]; }
 
@@ -41,13 +41,14 @@
   // Number of jobs in the table, in any state.
   size_t count() const { return count_; }
 
-  // Open jobs whose tasks are all done and whose final state is not durable yet.
+  // Jobs whose tasks are all done, in state open, closing or done. They leave the set when they are
+  // erased or cancelled.
   const std::set<Index>& completed() const { return completed_; }
   void mark_completed(const Job& job) { completed_.insert(job.id); }
   void unmark_completed(const Job& job) { completed_.erase(job.id); }
 
-  // Returns false, changes nothing and logs an error if the state machine does not allow the
-  // transition.
+  // Changes the job's state and logs the transition. If the state machine does not allow the
+  // transition, returns false, changes nothing and logs an error.
   static bool set_state(Job& job, JobState to);
 
  private:
--- a/src/scheduler/machine_table.h
+++ b/src/scheduler/machine_table.h
@@ -22,7 +22,7 @@
   // Returns the machine with that name. Adds it in state booting, rented at `now`, if it is
   // missing.
   Machine& get_or_add(const std::string& name, double now);
-  // kNone if no machine with that name was added.
+  // The index of the machine with that name; kNone if it was never added.
   Index index_of(const std::string& name) const { return names_.find(name); }
 
   Machine& operator[](Index machine) { return *machines_[machine]; }
@@ -38,8 +38,8 @@
   // Marks the machine's entry in the rented list as changed.
   void mark_changed(const Machine& machine) { rented_.mark_changed(machine.index); }
 
-  // Returns false, changes nothing and logs an error if the state machine does not allow the
-  // transition.
+  // Changes the machine's state and logs the transition with its reason. If the state machine does
+  // not allow the transition, returns false, changes nothing and logs an error.
   static bool set_state(Machine& machine, MachineState to, const char* reason);
   // Drains the machine: it gets no new tasks and is returned once it is empty. Does nothing unless
   // the machine is ready.
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -8,8 +8,8 @@
 namespace rookdyke {
 
 namespace {
-// The watch normally delivers a row that another controller changed well within this time. If it
-// does not, something is wrong, and this leader steps down.
+// If the watch does not deliver a changed job row within this time, this leader steps down.
+// Normally the watch takes much less time.
 constexpr double kStaleJobTimeoutS = 10;
 }  // namespace
 
@@ -90,7 +90,7 @@
   demand_.sample_if_due(now);
   for (const auto& job : jobs_)
     if (job && job->is_stale() && now - job->stale_since > kStaleJobTimeoutS) {
-      // The watch did not deliver the changed row. The next leader reads all rows from scratch.
+      // The watch did not deliver the changed row. The next leader reads the whole ledger.
       claim_.lose("the row of job " + job->spec.id + " changed, and the watch did not deliver it");
       return;
     }
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -63,13 +63,15 @@
  public:
   Scheduler(Settings settings, std::vector<MachineType> types, uint64_t fencing_token, double now);
 
-  // Sets the difference between the time of day and the steady clock, in seconds. It is needed to
-  // compute the age of jobs that were accepted before a failover.
+  // Sets the time of day minus the steady clock's time, in seconds. It converts the times of day in
+  // job rows, so that a failover resets neither the ages of jobs nor their cancellation deadlines.
   void set_time_of_day_offset(double offset_s) { loader_.set_time_of_day_offset(offset_s); }
-  // Loads all committed state at a takeover. `ledger_cache` must be current as of a read barrier.
+  // Loads all committed state at a takeover. `ledger_cache` must have passed a read barrier since
+  // this controller became the leader, so that it contains everything that its predecessors
+  // committed.
   void load(const LedgerCache& ledger_cache, double now);
-  // The known contents of the machines' image caches: a hint that saves a successor image fetches.
-  // Correctness does not depend on it.
+  // The known contents of the machines' image caches. They help a successor to avoid image
+  // fetches; correctness does not depend on them.
   nlohmann::json image_locations() const { return images_.image_locations(); }
   void load_image_locations(const nlohmann::json& locations, double now) {
     images_.load_image_locations(locations, now);
@@ -81,7 +83,8 @@
   // Applies a worker's heartbeat and returns the reply to it.
   HeartbeatReply on_heartbeat(const Heartbeat& heartbeat, double now);
 
-  // The next direct command to send, if any: durable starts and stops for one machine.
+  // The next direct command to send, if any. It tells one worker to start attempts whose starts are
+  // durable and to stop others, or only carries the fencing token.
   std::optional<DirectCommand> next_direct_command(double now) {
     return direct_commands_.next(now);
   }
@@ -99,18 +102,19 @@
   // Runs one scheduling round.
   void round(double now);
   // Terminates machines that hold tasks of cancelled jobs and are unreachable or have not stopped
-  // these in time. It starts nothing, so that an unconfirmed leader may call it.
+  // these tasks in time. Starts no tasks, so that an unconfirmed leader may call it.
   void release_cancelled_work(double now) { monitor_.release_cancelled_work(now); }
-  // Allows or forbids start commands. They are forbidden while this leader may not know the latest
-  // cancellations.
+  // Allows or forbids start commands. They are forbidden while this leader's knowledge of
+  // cancellations might be out of date.
   void allow_starts(bool allowed) { start_permission_.allow_starts(allowed); }
 
-  // The next transaction to send, if any; at most one is in flight per chunk. `max_changes` limits
-  // the changes in it, but a change of a single row is always allowed.
+  // The next transaction to send, if any. No two transactions in flight write the same row.
+  // `max_changes` is the number of changes that the write rate permits now; it limits only the
+  // final states of jobs, of which a few are always permitted.
   std::optional<PendingTransaction> next_transaction(double now, size_t max_changes = SIZE_MAX) {
     return ledger_writer_.next_transaction(now, max_changes);
   }
-  // Rows that are to be written and transactions in flight.
+  // The number of completed jobs and dirty pages to be written and of transactions in flight.
   size_t unsent() const { return ledger_writer_.pending_writes(); }
   void on_result(uint64_t id, const ledger::Result& result, double now);
 
@@ -135,8 +139,8 @@
   }
 
   uint64_t fencing_token() const { return claim_.fencing_token(); }
-  // Switches to Settings::next_limits after the state service lowered its limits. Larger pages are
-  // split.
+  // Switches to Settings::next_limits after the state service lowered its limits. Pages that exceed
+  // them are split.
   void apply_lowered_limits() { ledger_writer_.apply_lowered_limits(); }
   bool uses_lowered_limits() const { return ledger_writer_.uses_lowered_limits(); }
 
@@ -151,17 +155,18 @@
   // grows with it.
   size_t backlog() const;
   struct Summary {
-    // `waiting` counts tasks without an attempt, `live` attempts, the others but `jobs` machines.
+    // `jobs` counts jobs, `waiting` tasks without an attempt, `live` attempts. The others count
+    // machines: by state, and those whose heartbeats have timed out.
     size_t jobs = 0, waiting = 0, live = 0, ready = 0, booting = 0, draining = 0,
            missing_heartbeats = 0;
     double target = 0;  // machines that the demand requires
   };
   Summary summary(double now) const;
   const std::vector<std::unique_ptr<Machine>>& machines() const { return machines_.all(); }
-  // Counts of jobs and machines examined. Checks use them to verify that the cost of a round
-  // depends on what changed and not on the size of the deployment.
+  // Counts of rounds and of the jobs and machines examined in them. Tests use them to verify that
+  // the cost of a round depends on what changed and not on the size of the deployment.
   using Work = WorkCounters;
-  const Work& work() const { return work_; }
+  const Work& work_counters() const { return work_; }
   const Job* find_job(const std::string& id) const;
 
  private:
--- a/src/scheduler/task_lifecycle.cpp
+++ b/src/scheduler/task_lifecycle.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// The back-off between starts doubles with each run of a replica that is shorter than this.
+// A replica's run of at most this duration counts as short. The service's back-off between starts
+// is kBackOffBaseS * 2^Job::errors, up to kMaxBackOffS; a short run counts as an error.
 constexpr double kShortReplicaRunS = 10;
 constexpr double kBackOffBaseS = 1;
 constexpr double kMaxBackOffS = 60;
@@ -98,11 +99,11 @@
 
 void TaskLifecycle::withdraw_proposals(Job& job, bool all) {
   if (job.proposed == 0) return;
-  const auto is_void = [this](const Attempt& attempt) {
+  const auto is_invalid = [this](const Attempt& attempt) {
     return attempt.state == AttemptState::proposed && !is_proposal_valid(attempt);
   };
   const bool any = all || std::any_of(job.attempts.begin(), job.attempts.end(),
-                                      [&](const auto& entry) { return is_void(entry.second); });
+                                      [&](const auto& entry) { return is_invalid(entry.second); });
   if (!any) return;
   all = all || (job.is_gang() && job.proposed == job.attempts.size());
   for (auto it = job.attempts.begin(); it != job.attempts.end();) {
@@ -119,10 +120,10 @@
   if (!set_state(job, attempt, AttemptState::placed)) return;
   --job.proposed;
   commands_.add(attempt.machine);
-  // Once the last task of a gang is durable, all its tasks may be commanded to start.
+  // Once the starts of all tasks of a gang are durable, all of them may be commanded.
   if (job.is_gang() && job.proposed == 0)
     for (const auto& [task, other] : job.attempts) commands_.add(other.machine);
-  // This comes last because it may erase the job.
+  // end() comes last because it may erase the job.
   if (machines_[attempt.machine].state == MachineState::terminated)
     end(job, attempt.task, ExitCause::none, now, "machine terminated before the start was durable");
   else if (!is_proposal_valid(attempt))
@@ -200,12 +201,13 @@
   if (job.done_count == job.tasks()) jobs_.mark_completed(job);
 }
 
-// Sets the back-off of a service after a replica exited that was not told to stop. The back-off
-// grows with each short run.
+// Sets the back-off of a service after a replica exited without a stop command or its start was
+// refused. The back-off grows with each short run; a refused start counts as one.
 void TaskLifecycle::back_off_replica(Job& job, const Attempt& attempt, double now) {
-  const bool ran = attempt.running_since > 0 && now - attempt.running_since > kShortReplicaRunS;
+  const bool was_long_run =
+      attempt.running_since > 0 && now - attempt.running_since > kShortReplicaRunS;
   // FaultDetector handles exits with an error, because the machine may be at fault.
-  if (ran || attempt.cause == ExitCause::error) return;
+  if (was_long_run || attempt.cause == ExitCause::error) return;
   ++job.errors;
   const double wait =
       std::min(kMaxBackOffS, kBackOffBaseS * std::exp2(std::min(job.errors, kMaxBackOffDoublings)));
@@ -213,13 +215,13 @@
 }
 
 void TaskLifecycle::apply_exit_cause(Job& job, const Attempt& attempt, double now) {
-  const bool exited_unasked =
+  const bool exited_without_stop =
       attempt.cause != ExitCause::none && attempt.cause != ExitCause::stopped;
-  if (job.is_service() && exited_unasked) back_off_replica(job, attempt, now);
+  if (job.is_service() && exited_without_stop) back_off_replica(job, attempt, now);
   if (attempt.cause == ExitCause::done && !job.is_service()) return complete(job, attempt);
-  // A gang that is still starting waits for a replacement if the task's worker was lost and can no
-  // longer hold this attempt. Otherwise the other tasks cannot continue without this one and are
-  // stopped, unless they exit first.
+  // If a gang is still starting and the attempt was lost with its worker or machine (no exit
+  // cause), the other tasks wait for a replacement. In all other cases they cannot continue without
+  // this task and are stopped, unless they exit first.
   if (job.is_gang() && (attempt.cause != ExitCause::none || !is_gang_starting(job)))
     for (auto& [task, other] : job.attempts)
       if (other.number == attempt.number) stop(job, other, 0);
@@ -251,9 +253,9 @@
   job.stale_since = -1;
   job.waiting.clear();
   jobs_.unmark_completed(job);
-  // The results are not needed, so there is no grace period for a checkpoint. The outcome of a
-  // proposal whose transaction is in flight follows from its result; most of these transactions
-  // fail, because the version of the job's row changed.
+  // The results are not needed, so there is no grace period for a checkpoint. A proposal whose
+  // transaction is in flight is handled when its result arrives; most of these transactions fail
+  // with a conflict, because the job's row has a new version.
   for (auto& [task, attempt] : job.attempts) stop(job, attempt, 0);
   erase_if_finished(job.id);
 }
@@ -269,8 +271,8 @@
     if (state == AttemptState::ended || state == AttemptState::proposed) release(*job, task);
   }
   if (!job->attempts.empty()) return;
-  // The next write of each page drops the job's chunks. Until then a new leader ignores them
-  // because of the job's row.
+  // The next write of each page drops the job's chunks. Until then they start nothing under a new
+  // leader: JobLoader skips the chunks of a done job and stops the attempts of a cancelled one.
   pages_.remove_job(*job);
   jobs_.erase(id);
 }
--- a/src/scheduler/task_lifecycle.h
+++ b/src/scheduler/task_lifecycle.h
@@ -1,11 +1,12 @@
 #pragma once
 // The lifecycle of a task's attempt, from its proposal until it is proven to have left its machine
 // and is removed. Only this class adds and removes attempts, which keeps a job's attempts, its
-// machines' tasks and its team's usage consistent and writes every change to the ledger.
+// machines' tasks and its team's usage consistent. It marks the ledger pages that have to be
+// written because of a change; LedgerWriter writes them.
 //
 // States of an attempt: proposed -> placed (its start is durable) -> fetching, gang_waiting,
-// running, checkpointing (as the worker reports) -> ended (it left its machine) -> released (its
-// end is durable).
+// running, checkpointing (as the worker reports) -> ended (it has left its machine, but its end is
+// not durable yet). After that, release() removes the attempt.
 
 #include <cstdint>
 
@@ -30,31 +31,36 @@
                 PendingCommands& commands)
       : jobs_(jobs), machines_(machines), usage_(usage), pages_(pages), commands_(commands) {}
 
-  // Allocates resources on the machine for a waiting task. The start is commanded once the proposal
-  // is durable. `preemption_exempt`: the attempt must not be preempted.
-  void propose(Job& job, uint32_t task, uint64_t attempt, Machine& machine, bool preemption_exempt,
+  // Adds an attempt with the given number for a waiting task and allocates its resources on the
+  // machine. The start is commanded once the proposal is durable. `preemption_exempt`: the attempt
+  // must not be preempted.
+  void propose(Job& job, uint32_t task, uint64_t number, Machine& machine, bool preemption_exempt,
                double now);
   // Restores an attempt from the ledger. It may be running, or a command of a predecessor may still
   // start it.
   void restore(Job& job, const ledger::LiveAttempt& live, double now);
   // Whether the attempt's machine still accepts tasks and is in the epoch of the proposal.
   bool is_proposal_valid(const Attempt& attempt) const;
-  // Withdraws proposals that were not written: all of them if `all` is set, otherwise those that
-  // are no longer valid. If one proposal of a gang is invalid and no start of the gang is durable,
-  // all proposals of the gang are withdrawn.
+  // Withdraws the job's attempts that are still proposals: all of them if `all` is set, otherwise
+  // those that are no longer valid. If one proposal of a gang is invalid and no start of the gang
+  // is durable, all proposals of the gang are withdrawn.
   void withdraw_proposals(Job& job, bool all);
-  // Marks a proposal as durable, so that its start may be commanded.
+  // Marks a proposal as durable, so that its start may be commanded. If the proposal is no longer
+  // valid, the attempt is stopped, or ended if its machine is terminated. May erase the job.
   void mark_placed(Job& job, Attempt& attempt, double now);
 
-  // Requests that the attempt stop, with `grace_s` seconds for a checkpoint.
+  // Requests that the attempt stop, with `grace_s` seconds for a checkpoint. A repeated request can
+  // only shorten this time. Has no effect on ended attempts.
   void stop(Job& job, Attempt& attempt, double grace_s);
   // Stops the attempt and all others of its gang, because a gang can only checkpoint as a whole.
   void stop_with_gang(Job& job, Attempt& attempt, double grace_s);
 
-  // Ends an attempt that is proven to have left its machine. Has no effect on a proposal, whose
-  // outcome its transaction decides. `reason` is logged. May erase the job if it is finished.
+  // Ends an attempt that is proven to have left its machine. Has no effect on a proposal, because
+  // the result of its transaction decides whether it starts. `reason` is logged. May erase the job
+  // if it is finished.
   void end(Job& job, uint32_t task, ExitCause cause, double now, const char* reason);
   // Removes an attempt whose end is durable, whose start was never commanded, or whose job is done.
+  // If the job is open and the task is not done, the task waits for a new attempt.
   void release(Job& job, uint32_t task);
 
   // Cancels the job: stops its attempts and starts no further ones. `version` is the version of the
@@ -63,12 +69,12 @@
   // Erases a finished job once it has no attempts on machines and no transactions in flight.
   void erase_if_finished(Index job);
 
-  // Whether the gang has attempts that have not ended and, as far as known, none of them has passed
-  // gang_waiting or is to be stopped.
+  // Whether the gang is still starting: it has attempts that have not ended, none of these is to be
+  // stopped, and none is known to be in a state after gang_waiting.
   static bool is_gang_starting(const Job& job);
 
-  // Returns false, changes nothing and logs an error if the state machine does not allow the
-  // transition.
+  // Changes the attempt's state and logs the transition. If the state machine does not allow the
+  // transition, returns false, changes nothing and logs an error.
   bool set_state(Job& job, Attempt& attempt, AttemptState to);
 
  private:
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -47,7 +47,7 @@
     for (const auto& [n, page] : old.at("pages").items())
       ledger_cache.put(ledger::kPagePrefix + n, page, ++version);
     ledger_cache.put(ledger::kTypesKey, old.at("types"), ++version);
-    ledger_cache.put(ledger::fleet_key(0), old.at("rented"), ++version);
+    ledger_cache.put(ledger::rented_list_key(0), old.at("rented"), ++version);
     ledger_cache.put(ledger::kLeaderKey, old.at("leader"), ++version);
     return ledger_cache;
   }
@@ -77,7 +77,8 @@
   NameTable types, zones;
   types.intern("box");
   RentedList list(2048);
-  const auto machines = list.load({{ledger::fleet_key(0), {12, old.at("rented")}}}, types, zones);
+  const auto machines =
+      list.load({{ledger::rented_list_key(0), {12, old.at("rented")}}}, types, zones);
   ASSERT_EQ(machines.size(), 3u);
   EXPECT_EQ(machines[0].type, 0u);
   EXPECT_EQ(zones.name(machines[0].zone), "a");
--- a/tests/rented_list_test.cpp
+++ b/tests/rented_list_test.cpp
@@ -60,7 +60,7 @@
   machines.emplace_back(std::nullopt);  // gone
   const ledger::Transaction transaction = write(1);
   ASSERT_EQ(transaction.changes.size(), 1u);
-  EXPECT_EQ(transaction.changes[0].key, ledger::fleet_key(0));
+  EXPECT_EQ(transaction.changes[0].key, ledger::rented_list_key(0));
   EXPECT_FALSE(transaction.changes[0].erase);
   EXPECT_EQ(transaction.changes[0].value, json::parse(R"({"w": "7.1", "machines": [
       ["large", "west", false, ["m-2"]], ["small", "east", true, ["m-1", "m-3"]]]})"));
@@ -70,7 +70,7 @@
   add("m-1", 0, 0, false);
   const ledger::Transaction first = write(1);
   ASSERT_EQ(first.conditions.size(), 1u);
-  EXPECT_EQ(first.conditions[0].key, ledger::fleet_key(0));
+  EXPECT_EQ(first.conditions[0].key, ledger::rented_list_key(0));
   EXPECT_EQ(first.conditions[0].version, 0u) << "it must not exist yet";
   settle(first, ledger::Outcome::applied, 12);
   list.mark_changed(0);
@@ -106,17 +106,17 @@
   fill_a_row();
   const ledger::Transaction first = write(1, 1);
   ASSERT_EQ(first.changes.size(), 1u);
-  EXPECT_EQ(first.changes[0].key, ledger::fleet_key(0));
+  EXPECT_EQ(first.changes[0].key, ledger::rented_list_key(0));
   EXPECT_LE(first.changes[0].value.dump().size(), kValueBytes);
   settle(first, ledger::Outcome::applied, 12);
   const ledger::Transaction second = write(5, 1);
   ASSERT_EQ(second.changes.size(), 1u);
-  EXPECT_EQ(second.changes[0].key, ledger::fleet_key(1));
+  EXPECT_EQ(second.changes[0].key, ledger::rented_list_key(1));
   settle(second, ledger::Outcome::applied, 13);
   list.mark_changed(399);
   const ledger::Transaction third = write(9);
   ASSERT_EQ(third.changes.size(), 1u);
-  EXPECT_EQ(third.changes[0].key, ledger::fleet_key(1));
+  EXPECT_EQ(third.changes[0].key, ledger::rented_list_key(1));
 }
 
 TEST_F(RentedListTest, ASuccessorReadsWhatItsPredecessorWrote) {
@@ -147,9 +147,9 @@
   const json odd = json::parse(R"({"machines": [3, ["large", "east", false], ["large", "east", 1,
       ["m-1"]], ["large", "east", false, [7, "", "m-2"]], ["former", "north", true, ["m-3"]]]})");
   RentedList::Rows rows;
-  rows[ledger::fleet_key(0)] = {3, odd};
-  rows[ledger::fleet_key(1)] = {4, json(5)};
-  rows[ledger::fleet_key(2)] = {5, json::parse(R"({"machines": "none"})")};
+  rows[ledger::rented_list_key(0)] = {3, odd};
+  rows[ledger::rented_list_key(1)] = {4, json(5)};
+  rows[ledger::rented_list_key(2)] = {5, json::parse(R"({"machines": "none"})")};
   rows["elsewhere"] = {6, odd};
   const auto machines = list.load(rows, types, zones);
   ASSERT_EQ(machines.size(), 2u);
@@ -159,15 +159,16 @@
   EXPECT_EQ(zones.name(machines[1].zone), "north");
   const ledger::Transaction transaction = write(1);
   ASSERT_EQ(transaction.conditions.size(), 1u);
-  EXPECT_EQ(transaction.conditions[0].key, ledger::fleet_key(0));
+  EXPECT_EQ(transaction.conditions[0].key, ledger::rented_list_key(0));
   settle(transaction, ledger::Outcome::applied, 12);
   fill_a_row();
   list.mark_changed(static_cast<Index>(machines.size()) + 400);
   while (list.can_write(5)) {
     const ledger::Transaction later = write(5);
     for (const ledger::Change& change : later.changes) {
-      EXPECT_NE(change.key, ledger::fleet_key(1)) << "it cannot be read, so it is not written";
-      EXPECT_NE(change.key, ledger::fleet_key(2));
+      EXPECT_NE(change.key, ledger::rented_list_key(1))
+          << "it cannot be read, so it is not written";
+      EXPECT_NE(change.key, ledger::rented_list_key(2));
     }
     settle(later, ledger::Outcome::applied, 13);
   }
--- a/tests/scenario/expectations.cpp
+++ b/tests/scenario/expectations.cpp
@@ -48,7 +48,7 @@
 Found check_work_per_round(const Line& line, World& world) {
   const SimController* leader = world.leader();
   if (!leader) return {"nobody leads"};
-  const Scheduler::Work& work = leader->scheduler()->work();
+  const Scheduler::Work& work = leader->scheduler()->work_counters();
   const double per_round = static_cast<double>(work.machines_examined + work.jobs_examined) /
                            static_cast<double>(std::max<uint64_t>(1, work.rounds));
   return found_unless(per_round <= line.number(3), std::to_string(per_round));
--- a/tests/scheduler/failover_test.cpp
+++ b/tests/scheduler/failover_test.cpp
@@ -61,7 +61,7 @@
     if (!p) continue;
     const std::string& key = p->txn.changes.at(0).key;
     pages += key.rfind(ledger::kPagePrefix, 0) == 0;
-    lists += key.rfind(ledger::kFleetPrefix, 0) == 0;
+    lists += key.rfind(ledger::kRentedListPrefix, 0) == 0;
     scheduler.on_result(p->id, {ledger::Outcome::applied, ++revision, {}}, now);
   }
   EXPECT_FALSE(scheduler.has_lost_leadership());
