--- a/src/api/http_reply.h
+++ b/src/api/http_reply.h
@@ -1,5 +1,5 @@
 #pragma once
-// Answers of this controller over HTTP, in MessagePack.
+// HTTP responses of this controller with MessagePack bodies.
 
 #include <httplib.h>
 
@@ -9,7 +9,7 @@
 
 namespace rookdyke {
 
-// Sets the status and the body, encoded as the protocol has it.
+// Sets the status, the MessagePack body and the content type of a response.
 inline void reply(httplib::Response& response, int status, const nlohmann::json& body) {
   response.status = status;
   response.set_content(wire::pack(body), wire::kContentType);
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -21,15 +21,16 @@
 
 namespace {
 
-// Users wait 5 s for the answer to a submission and 2 s for one to a poll; these are the times
-// within which we decide.
+// Users wait 5 s for the response to a submission and 2 s for that to a poll. Requests are decided
+// within these shorter times, so that the response arrives in time. Cancellations have the same
+// timeout as submissions.
 constexpr double kSubmitTimeoutS = 3.0;
 constexpr double kPollTimeoutS = 1.5;
-// A later answer is not given: its user has stopped waiting, and has perhaps had a newer one from
-// another replica since.
-constexpr double kPollAnswerMaxAgeS = 2;
-constexpr double kSubmitAnswerGraceS = 1;  // beyond the deadline
-constexpr size_t kRowOverheadBytes = 16;   // of a row's value, beyond its text
+// Older responses are not sent: the user has stopped waiting, and may have received a newer
+// response from another controller since.
+constexpr double kPollResponseMaxAgeS = 2;
+constexpr double kSubmitResponseGraceS = 1;  // after the deadline of the submission
+constexpr size_t kRowOverheadBytes = 16;     // added to the encoded size of a row's value
 constexpr unsigned kMaxRetryAfterS = 3;
 
 constexpr const char* kLedgerUnavailable = "the ledger does not answer";
@@ -65,7 +66,7 @@
       return cancel(rest.substr(0, rest.size() - cancel_suffix.size()), response);
     if (get) return poll(rest, response);
   }
-  reply(response, http_status::kNotFound, wire::refusal("no such path"));
+  reply(response, http_status::kNotFound, wire::encode_error("no such path"));
 }
 
 // ---------------------------------------------------------------- submissions
@@ -74,83 +75,90 @@
   const double deadline = steady_now() + kSubmitTimeoutS;
   const auto body = wire::unpack(request.body);
   if (!body || !body->is_object())
-    return reply(response, http_status::kBadRequest, wire::refusal("not a MessagePack map"));
-  const auto id = wire::job_id(*body);
-  if (!id) return reply(response, http_status::kBadRequest, wire::refusal("bad id"));
+    return reply(response, http_status::kBadRequest, wire::encode_error("not a MessagePack map"));
+  const auto id = wire::parse_job_id(*body);
+  if (!id) return reply(response, http_status::kBadRequest, wire::encode_error("bad id"));
 
-  if (answer_if_known(*id, deadline, response)) return;
+  if (respond_if_known(*id, deadline, response)) return;
   const auto spec = admit(*id, *body, deadline, response);
   if (spec) accept(*id, *spec, deadline, response);
 }
 
-// A job that exists is answered with its state, whatever the submission says now.
-bool UserApi::answer_from_ledger(const std::string& id, double deadline,
-                                 httplib::Response& response) {
-  std::optional<JobAnswer> answer;
+// Responds with the state of the job if it exists, even if the submission differs from the one that
+// was accepted. Returns false if it does not exist.
+bool UserApi::respond_from_ledger(const std::string& id, double deadline,
+                                  httplib::Response& response) {
+  std::optional<JobAnswer> summary;
   bool unreadable = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
-    answer = ledger_cache.answer(id);
+    summary = ledger_cache.answer(id);
     unreadable = ledger_cache.unreadable(id);
   });
   if (unreadable) {
-    refuse(response, kUnreadable);
+    respond_unavailable(response, kUnreadable);
     return true;
   }
-  if (!answer) return false;
-  if (answer->status == JobStatus::open && steady_now() > deadline + kSubmitAnswerGraceS)
-    refuse(response, kTooLate);  // other replicas may have given newer answers since
+  if (!summary) return false;
+  if (summary->status == JobStatus::open && steady_now() > deadline + kSubmitResponseGraceS)
+    respond_unavailable(response, kTooLate);  // other controllers may have sent newer responses
   else
-    answer_job(id, *answer, false, deadline, response);
+    respond_with_status(id, *summary, false, deadline, response);
   return true;
 }
 
-// The same, without a read barrier for jobs that the cache does not have: most are new.
-bool UserApi::answer_if_known(const std::string& id, double deadline, httplib::Response& response) {
-  bool seen = false, finished = false;
+// Responds with the state of the job if the cache has it, after a read barrier unless the job has
+// ended. Jobs that the cache does not have are not worth a read barrier, since most of them are
+// new.
+bool UserApi::respond_if_known(const std::string& id, double deadline,
+                               httplib::Response& response) {
+  bool cached = false, finished = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
     if (const CachedJob* job = ledger_cache.job(id)) {
-      seen = true;
+      cached = true;
       finished = job->row.status != JobStatus::open;
     }
   });
-  if (!seen) return false;
+  if (!cached) return false;
   if (!finished && !ledger_.wait_for_barrier(deadline - steady_now())) {
-    refuse(response, kLedgerUnavailable);
+    respond_unavailable(response, kLedgerUnavailable);
     return true;
   }
-  return answer_from_ledger(id, deadline, response);
+  return respond_from_ledger(id, deadline, response);
 }
 
-// Before any 400 or 422: another replica may have accepted the job.
-bool UserApi::answer_if_accepted_elsewhere(const std::string& id, double deadline,
-                                           httplib::Response& response) {
+// Must be called before any response of 400 or 422, since another controller may have accepted the
+// job.
+bool UserApi::respond_if_accepted_elsewhere(const std::string& id, double deadline,
+                                            httplib::Response& response) {
   if (!ledger_.wait_for_barrier(deadline - steady_now())) {
-    refuse(response, kLedgerUnavailable);
+    respond_unavailable(response, kLedgerUnavailable);
     return true;
   }
-  return answer_from_ledger(id, deadline, response);
+  return respond_from_ledger(id, deadline, response);
 }
 
-// The job that the submission asks for, if it is valid and can ever run. Empty: it was answered.
+// Returns the submitted job if it is valid and can ever run; otherwise sets the response and
+// returns nullopt.
 std::optional<JobSpec> UserApi::admit(const std::string& id, const json& body, double deadline,
                                       httplib::Response& response) {
   wire::DecodedJob decoded = wire::parse_job(body);
   if (const auto* error = std::get_if<wire::DecodeError>(&decoded)) {
-    if (answer_if_accepted_elsewhere(id, deadline, response)) return std::nullopt;
+    if (respond_if_accepted_elsewhere(id, deadline, response)) return std::nullopt;
     spdlog::info("submission {} refused: {} is missing or invalid", id, error->field);
-    reply(response, http_status::kBadRequest, wire::refusal("missing or invalid: " + error->field));
+    reply(response, http_status::kBadRequest,
+          wire::encode_error("missing or invalid: " + error->field));
     return std::nullopt;
   }
   auto& spec = std::get<JobSpec>(decoded);
   const std::vector<MachineType> types = ledger_.machine_types();
   if (types.empty()) {
-    refuse(response, "machine types are not known yet");
+    respond_unavailable(response, "machine types are not known yet");
     return std::nullopt;
   }
-  if (const auto never = rejection_reason(spec, types, settings_.teams, settings_.zones)) {
-    if (answer_if_accepted_elsewhere(id, deadline, response)) return std::nullopt;
-    spdlog::info("submission {} refused: {}", id, *never);
-    reply(response, http_status::kUnprocessable, wire::refusal(*never));
+  if (const auto rejection = rejection_reason(spec, types, settings_.teams, settings_.zones)) {
+    if (respond_if_accepted_elsewhere(id, deadline, response)) return std::nullopt;
+    spdlog::info("submission {} refused: {}", id, *rejection);
+    reply(response, http_status::kUnprocessable, wire::encode_error(*rejection));
     return std::nullopt;
   }
   return std::make_optional(std::move(spec));
@@ -174,83 +182,89 @@
   const json value = ledger::encode(row);
   const size_t size = ledger::value_size(value) + kRowOverheadBytes;
   if (size > settings_.value_bytes) {
-    if (answer_if_accepted_elsewhere(id, deadline, response)) return;
-    return reply(response, http_status::kBadRequest, wire::refusal(kTooLong));
+    if (respond_if_accepted_elsewhere(id, deadline, response)) return;
+    return reply(response, http_status::kBadRequest, wire::encode_error(kTooLong));
   }
-  // Invariant 1: accepted means that this create-if-absent was executed.
+  // Invariant 1: a job is accepted only if this transaction, which creates its row, was executed.
   transaction.conditions = {{ledger::job_key(id), 0}};
   transaction.changes = {{ledger::job_key(id), false, value, 0}};
   const auto result = ledger_.commit(transaction, deadline);
-  if (!result || result->outcome == Outcome::refused) return refuse(response, kLedgerUnavailable);
+  if (!result || result->outcome == Outcome::refused)
+    return respond_unavailable(response, kLedgerUnavailable);
   if (result->outcome == Outcome::rejected) {
-    // The state service has lowered its limits.
-    if (answer_if_accepted_elsewhere(id, deadline, response)) return;
+    // The state service has lowered its size limits.
+    if (respond_if_accepted_elsewhere(id, deadline, response)) return;
     if (size > settings_.lasting_value_bytes())
-      return reply(response, http_status::kBadRequest, wire::refusal(kTooLong));
-    return refuse(response, kLedgerUnavailable);
+      return reply(response, http_status::kBadRequest, wire::encode_error(kTooLong));
+    return respond_unavailable(response, kLedgerUnavailable);
   }
   if (result->outcome == Outcome::conflict) {
-    // The job exists: another copy of this submission was executed first.
-    if (answer_if_accepted_elsewhere(id, deadline, response)) return;
-    return refuse(response, "try again");
+    // The job exists: a duplicate of this submission was executed first.
+    if (respond_if_accepted_elsewhere(id, deadline, response)) return;
+    return respond_unavailable(response, "try again");
   }
   ledger_.apply_committed({ledger::job_key(id), value, result->revision, false});
-  reply(response, http_status::kCreated, wire::job_accepted(id));
+  reply(response, http_status::kCreated, wire::encode_job_accepted(id));
 }
 
 // ---------------------------------------------------------------- polls
 
 void UserApi::poll(const std::string& id, httplib::Response& response) {
-  const double asked = steady_now();
-  if (!wire::valid_job_id(id))
-    return reply(response, http_status::kNotFound, wire::refusal(kNoSuchJob));
-  std::optional<JobAnswer> answer;
+  const double received_at = steady_now();
+  if (!wire::is_valid_job_id(id))
+    return reply(response, http_status::kNotFound, wire::encode_error(kNoSuchJob));
+  std::optional<JobAnswer> summary;
   bool unreadable = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
     const CachedJob* job = ledger_cache.job(id);
-    if (job && job->row.status != JobStatus::open) answer = ledger_cache.answer(id);
+    if (job && job->row.status != JobStatus::open) summary = ledger_cache.answer(id);
   });
-  if (answer)  // final: no newer answer can exist
-    return answer_job(id, *answer, true, asked + kPollTimeoutS, response);
-  // Invariant 5: without a barrier it could be older than what another replica has answered.
-  if (!ledger_.wait_for_barrier(kPollTimeoutS)) return refuse(response, kLedgerUnavailable);
-  bool late = false;
+  if (summary)  // a final state, which cannot be outdated
+    return respond_with_status(id, *summary, true, received_at + kPollTimeoutS, response);
+  // Invariant 5: without a read barrier, the response could be older than one that another
+  // controller has sent.
+  if (!ledger_.wait_for_barrier(kPollTimeoutS))
+    return respond_unavailable(response, kLedgerUnavailable);
+  bool too_late = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
-    answer = ledger_cache.answer(id);
+    summary = ledger_cache.answer(id);
     unreadable = ledger_cache.unreadable(id);
-    // Invariant 5 again: the process may have been suspended since the barrier.
-    late = steady_now() - asked > kPollAnswerMaxAgeS;
+    // Invariant 5: the process may have been suspended since the read barrier.
+    too_late = steady_now() - received_at > kPollResponseMaxAgeS;
   });
-  if (late) return refuse(response, kTooLate);
-  if (unreadable) return refuse(response, kUnreadable);
-  if (!answer) return reply(response, http_status::kNotFound, wire::refusal(kNoSuchJob));
-  answer_job(id, *answer, true, asked + kPollTimeoutS, response);
+  if (too_late) return respond_unavailable(response, kTooLate);
+  if (unreadable) return respond_unavailable(response, kUnreadable);
+  if (!summary) return reply(response, http_status::kNotFound, wire::encode_error(kNoSuchJob));
+  respond_with_status(id, *summary, true, received_at + kPollTimeoutS, response);
 }
 
-// Every answer about a known job is sent here.
-void UserApi::answer_job(const std::string& id, const JobAnswer& answer, bool with_counts,
-                         double deadline, httplib::Response& response) {
-  if (answer.status == JobStatus::cancelled && !ledger_.may_confirm_cancelled(id, deadline, 0))
-    return refuse(response, kLeaderNotInformed, Connection::close);
-  reply(response, http_status::kOk, wire::job_answer(id, answer, with_counts));
+// Sends every response that reports an existing job, except to the request that created or
+// cancelled it. A cancellation is reported only once the leader knows it.
+void UserApi::respond_with_status(const std::string& id, const JobAnswer& summary, bool with_counts,
+                                  double deadline, httplib::Response& response) {
+  if (summary.status == JobStatus::cancelled && !ledger_.may_confirm_cancelled(id, deadline, 0))
+    return respond_unavailable(response, kLeaderNotInformed, Connection::close);
+  reply(response, http_status::kOk, wire::encode_job_status(id, summary, with_counts));
 }
 
 // ---------------------------------------------------------------- cancellations
 
-// A cancellation that is ready to be written, or the answer about a job in a final state.
+// A cancellation that is ready to be written or, if `finished` is set, the state of a job that has
+// already ended.
 struct UserApi::Cancellation {
   std::optional<JobAnswer> finished;
   ledger::Transaction transaction;
   ledger::JobRow row;
-  uint64_t leader = 0;  // version of the leader key that the write is conditional on; 0: none
+  uint64_t leader = 0;  // version of the leader key that the write depends on; 0: no leader
 };
 
-// After a read barrier, conditional on the rows as the cache showed them. Empty: it was answered.
+// Prepares a transaction that is conditional on the rows as the cache shows them after a read
+// barrier. If the job cannot be cancelled, sets the response and returns nullopt.
 std::optional<UserApi::Cancellation> UserApi::prepare_cancellation(const std::string& id,
                                                                    double deadline,
                                                                    httplib::Response& response) {
   if (!ledger_.wait_for_barrier(deadline - steady_now())) {
-    refuse(response, kLedgerUnavailable);
+    respond_unavailable(response, kLedgerUnavailable);
     return std::nullopt;
   }
   bool known = false, unreadable = false;
@@ -265,19 +279,19 @@
     cancellation.row.chunk_size = job->row.chunk_size;
     cancellation.row.spec = job->row.spec;
     cancellation.transaction.conditions = {{ledger::job_key(id), job->version}};
-    // The leader key must be unchanged at the write, so that it is known which leader has to learn
-    // of it. Without a leader, the next one reads the row; its user has to ask again.
+    // The write requires an unchanged leader key, so that it is known which leader has to be
+    // notified. Without a leader, the next leader reads the row, and the user has to retry.
     if (!ledger_cache.leader().empty()) {
       cancellation.leader = ledger_cache.leader_version();
       cancellation.transaction.conditions.push_back({ledger::kLeaderKey, cancellation.leader});
     }
   });
   if (unreadable) {
-    refuse(response, kUnreadable);
+    respond_unavailable(response, kUnreadable);
     return std::nullopt;
   }
   if (!known) {
-    reply(response, http_status::kNotFound, wire::refusal(kNoSuchJob));
+    reply(response, http_status::kNotFound, wire::encode_error(kNoSuchJob));
     return std::nullopt;
   }
   cancellation.transaction.transaction_id = ledger_.new_transaction_id();
@@ -286,13 +300,13 @@
 
 void UserApi::cancel(const std::string& id, httplib::Response& response) {
   const double deadline = steady_now() + kSubmitTimeoutS;
-  if (!wire::valid_job_id(id))
-    return reply(response, http_status::kNotFound, wire::refusal(kNoSuchJob));
+  if (!wire::is_valid_job_id(id))
+    return reply(response, http_status::kNotFound, wire::encode_error(kNoSuchJob));
   while (true) {
     auto cancellation = prepare_cancellation(id, deadline, response);
     if (!cancellation) return;
     if (cancellation->finished)
-      return answer_job(id, *cancellation->finished, false, deadline, response);
+      return respond_with_status(id, *cancellation->finished, false, deadline, response);
     cancellation->row.status = JobStatus::cancelled;
     cancellation->row.timestamp_s = unix_time_s();
     cancellation->row.transaction_id = cancellation->transaction.transaction_id;
@@ -301,26 +315,28 @@
     cancellation->transaction.changes = {{ledger::job_key(id), false, value, 0}};
     const auto result = ledger_.commit(cancellation->transaction, deadline);
     if (!result || result->outcome == Outcome::refused || result->outcome == Outcome::rejected)
-      return refuse(response, kLedgerUnavailable);
-    if (result->outcome == Outcome::conflict) continue;  // a row has changed since: read again
+      return respond_unavailable(response, kLedgerUnavailable);
+    if (result->outcome == Outcome::conflict) continue;  // a row has changed
     ledger_.apply_committed({ledger::job_key(id), value, result->revision, false});
     if (!ledger_.may_confirm_cancelled(id, deadline, cancellation->leader))
-      return refuse(response, kLeaderNotInformed, Connection::close);
-    return reply(response, http_status::kOk, wire::job_cancelled(id));
+      return respond_unavailable(response, kLeaderNotInformed, Connection::close);
+    return reply(response, http_status::kOk, wire::encode_job_cancelled(id));
   }
 }
 
-// Refuses at once, with a time to retry after: a different one for each, so that not all clients
-// return in the same second after an outage. The connection is closed if siblings can serve the
-// user better: kept open, it would bring the retry back here until the load balancer fails over.
-void UserApi::refuse(httplib::Response& response, const char* reason, Connection connection) {
+// Responds with 503 and a Retry-After that varies from one response to the next, so that clients do
+// not all retry in the same second after an outage. Closes the connection if peer controllers can
+// serve the user: on an open connection, the retry would reach this controller again until the load
+// balancer fails over.
+void UserApi::respond_unavailable(httplib::Response& response, const char* reason,
+                                  Connection connection) {
   static std::atomic<unsigned> refusals{0};
   response.set_header("Retry-After", std::to_string(1 + refusals++ % kMaxRetryAfterS));
   if (connection == Connection::close || ledger_.siblings_are_served()) {
     response.set_header("Connection", "close");
     net::Server::close_after_answer();
   }
-  reply(response, http_status::kUnavailable, wire::refusal(reason));
+  reply(response, http_status::kUnavailable, wire::encode_error(reason));
 }
 
 }  // namespace rookdyke
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -1,7 +1,7 @@
 #pragma once
-// The users' requests over HTTP: submissions, polls and cancellations. Called by the HTTP server's
-// threads; reads and writes the ledger through the interface JobLedger, which the controller
-// implements. A job is answered as accepted or cancelled only after that is durable.
+// Handles users' HTTP requests: submissions, polls and cancellations. Called by the threads of the
+// HTTP server; reads and writes the ledger through the interface JobLedger, which the controller
+// implements. A job is reported as accepted or cancelled only after the write is durable.
 
 #include <httplib.h>
 
@@ -18,47 +18,49 @@
 
 namespace rookdyke {
 
-// What users' requests need of their replica. All functions are thread-safe and do their own
-// locking; none may be called from within `read`.
+// The access to the ledger that users' requests need. All functions are thread-safe and do their
+// own locking; none may be called from the callback of `read`.
 class JobLedger {
  public:
   virtual ~JobLedger() = default;
 
-  // Read barrier: true once `read` shows at least all that was committed before this call; false if
-  // that can't be had in time, or at all.
+  // Read barrier: waits until `read` shows every write that was committed before this call. Returns
+  // false if that takes longer than `timeout_s` or is impossible.
   virtual bool wait_for_barrier(double timeout_s) = 0;
-  // Calls `look` with the replica's cache of the ledger, under the mutex that guards it: `look`
-  // sees a consistent state, and must not block.
-  virtual void read(const std::function<void(const LedgerCache&)>& look) const = 0;
-  // What machines can be rented; empty as long as that, or the ledger, has not been read.
+  // Calls `callback` with this controller's cache of the ledger, under the mutex that guards it:
+  // the callback sees a consistent state and must not block.
+  virtual void read(const std::function<void(const LedgerCache&)>& callback) const = 0;
+  // The machine types that can be rented; empty until they and the ledger have been loaded.
   virtual std::vector<MachineType> machine_types() const = 0;
 
-  // An id that no other transaction ever had.
+  // Returns an id that no other transaction has ever had.
   virtual std::string new_transaction_id() = 0;
-  // Executes a transaction; one that is not answered is retried unchanged. Empty: it is unknown
-  // whether it is or will be executed, and the user has to ask again. Gives up before the deadline
-  // (seconds of steady_now()) if the state service refuses, or too many wait for it.
+  // Executes a transaction, and retries it unchanged while its outcome is indeterminate. Returns
+  // nullopt if it could not be sent, or if its outcome stays indeterminate: it may then have been
+  // executed, or be executed later, and the user has to retry. Returns before the deadline (seconds
+  // of steady_now()) if the state service refuses the transaction or is failing, or if too many
+  // requests wait for it.
   virtual std::optional<ledger::Result> commit(const ledger::Transaction& transaction,
                                                double deadline) = 0;
-  // Applies a committed row to the cache: `read` shows it from now on.
+  // Applies a committed row to the cache, so that `read` shows it from now on.
   virtual void apply_committed(const wire::Row& row) = 0;
 
-  // Whether a durable cancellation may be confirmed to its user, since the leader knows of it;
-  // waits for that until the deadline (seconds of steady_now()). `leader`: version of the leader
-  // key that the write was conditional on, 0: unknown.
+  // Whether a durable cancellation may be confirmed to its user, which requires that the leader
+  // knows it. Waits for that until the deadline (seconds of steady_now()). `leader` is the version
+  // of the leader key that the write was conditional on; 0 if unknown.
   virtual bool may_confirm_cancelled(const std::string& job, double deadline, uint64_t leader) = 0;
-  // Whether the state service answers the siblings, as they report: if it does not answer here,
-  // only this replica is cut off from it.
+  // Whether a peer controller recently reported that the state service responds to it. If it does
+  // not respond to this controller, only this controller is partitioned from it.
   virtual bool siblings_are_served() const = 0;
 };
 
-// Answers users. Thread-safe: requests have no state in common but the ledger.
+// Thread-safe: requests share no state except the ledger.
 class UserApi {
  public:
-  // Both must outlive this object.
+  // Both arguments must outlive this object.
   UserApi(const Settings& settings, JobLedger& ledger);
 
-  // Serves one request; a path that is none of the users' gets 404.
+  // Serves one request; responds with 404 to any path that is not part of this API.
   void serve(const httplib::Request& request, httplib::Response& response);
 
  private:
@@ -66,11 +68,11 @@
   void poll(const std::string& id, httplib::Response& response);
   void cancel(const std::string& id, httplib::Response& response);
 
-  // Steps of a submission. Those that return bool return whether the request was answered.
-  bool answer_from_ledger(const std::string& id, double deadline, httplib::Response& response);
-  bool answer_if_known(const std::string& id, double deadline, httplib::Response& response);
-  bool answer_if_accepted_elsewhere(const std::string& id, double deadline,
-                                    httplib::Response& response);
+  // Steps of a submission. Those that return bool return whether they have set the response.
+  bool respond_from_ledger(const std::string& id, double deadline, httplib::Response& response);
+  bool respond_if_known(const std::string& id, double deadline, httplib::Response& response);
+  bool respond_if_accepted_elsewhere(const std::string& id, double deadline,
+                                     httplib::Response& response);
   std::optional<JobSpec> admit(const std::string& id, const nlohmann::json& body, double deadline,
                                httplib::Response& response);
   ledger::JobRow new_row(const JobSpec& spec, const std::string& transaction_id) const;
@@ -82,12 +84,13 @@
   std::optional<Cancellation> prepare_cancellation(const std::string& id, double deadline,
                                                    httplib::Response& response);
 
-  void answer_job(const std::string& id, const JobAnswer& answer, bool with_counts, double deadline,
-                  httplib::Response& response);
-  // Whether a refusal closes the connection, so that the load balancer sends the retry elsewhere.
+  void respond_with_status(const std::string& id, const JobAnswer& summary, bool with_counts,
+                           double deadline, httplib::Response& response);
+  // When a response of respond_unavailable closes the connection, so that the load balancer routes
+  // the retry to another controller.
   enum class Connection { close_if_siblings_are_served, close };
-  void refuse(httplib::Response& response, const char* reason,
-              Connection connection = Connection::close_if_siblings_are_served);
+  void respond_unavailable(httplib::Response& response, const char* reason,
+                           Connection connection = Connection::close_if_siblings_are_served);
 
   const Settings& settings_;
   JobLedger& ledger_;
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -60,14 +60,15 @@
 std::optional<std::vector<MachineType>> Client::types() {
   const Answer answer = call(Method::get, wire::kMachineTypesPath);
   if (answer.status != http_status::kOk) return std::nullopt;
-  return wire::parse_types(answer.body);
+  return wire::parse_machine_types(answer.body);
 }
 
 Client::RentalResult Client::rent(const RentalRequest& request, const MaySend& may_send) {
   RentalResult result;
-  const Answer answer = call(Method::post, wire::kMachinesPath, wire::rent(request), may_send);
+  const Answer answer =
+      call(Method::post, wire::kMachinesPath, wire::encode_rental_request(request), may_send);
   if (answer.status == http_status::kOk) {
-    if (auto names = wire::parse_rented(answer.body)) {
+    if (auto names = wire::parse_rented_machines(answer.body)) {
       result.outcome = CloudOutcome::done;
       result.machines = std::move(*names);
     }
@@ -86,7 +87,7 @@
 CloudOutcome Client::return_machines(const std::vector<std::string>& names,
                                      const MaySend& may_send) {
   const Answer answer =
-      call(Method::post, wire::kReturnPath, wire::return_machines(names), may_send);
+      call(Method::post, wire::kReturnPath, wire::encode_return_request(names), may_send);
   if (answer.status == http_status::kOk) return CloudOutcome::done;
   const bool not_executed = answer.status != http_status::kNone || !answer.may_have_executed;
   return not_executed ? CloudOutcome::refused : CloudOutcome::unknown;
@@ -96,9 +97,9 @@
   std::vector<ListedMachine> all;
   std::string after;
   while (true) {
-    const Answer answer = call(Method::get, wire::list_path(after, kListPageSize));
+    const Answer answer = call(Method::get, wire::machine_list_path(after, kListPageSize));
     if (answer.status != http_status::kOk) return std::nullopt;
-    auto page = wire::parse_machines(answer.body);
+    auto page = wire::parse_machine_page(answer.body);
     if (!page) return std::nullopt;
     std::vector<ListedMachine>& machines = page->machines;
     if (machines.empty()) return all;
--- a/src/daemon/cancellation_notifier.cpp
+++ b/src/daemon/cancellation_notifier.cpp
@@ -19,7 +19,7 @@
                                            state::RateLimiters& limiters, TransactionIds& ids)
     : shared_(shared), ids_(ids), client_(config.state, limiters, kStateTimeoutS) {
   for (const Sibling& sibling : config.siblings)
-    peers_[sibling.label] = std::make_unique<mesh::Peer>(sibling);
+    peers_[sibling.label] = std::make_unique<mesh::PeerClient>(sibling);
 }
 
 void CancellationNotifier::run() {
@@ -57,7 +57,7 @@
   CancellationGate& gate = state.cancellation_gate();
   Notification notification;
   notification.leader = ledger.leader();
-  mesh::Cancelled& message = notification.message;
+  mesh::CancellationNotice& message = notification.message;
   if (!ledger.leader().empty()) message.fencing_token = ledger.leader_version();
   const bool reachable = peers_.contains(notification.leader);
   for (const CancellationGate::Pending& pending : gate.pending()) {
@@ -83,7 +83,7 @@
 }
 
 void CancellationNotifier::perform(const Notification& notification) {
-  const mesh::Cancelled& message = notification.message;
+  const mesh::CancellationNotice& message = notification.message;
   const std::optional<uint64_t> answered_token =
       peers_.at(notification.leader)->send_cancellations(message);
   auto state = shared_.lock();
@@ -96,7 +96,7 @@
   else
     spdlog::info("cancellations of {} jobs: not acknowledged by {}", message.rows.size(),
                  notification.leader);
-  for (const mesh::Cancelled::Row& row : message.rows) {
+  for (const mesh::CancellationNotice::Row& row : message.rows) {
     if (acknowledged) gate.acknowledge(row.job, row.version);
     gate.set_tried(row.job);
   }
--- a/src/daemon/cancellation_notifier.h
+++ b/src/daemon/cancellation_notifier.h
@@ -29,7 +29,7 @@
  private:
   struct Notification {
     std::string leader;
-    mesh::Cancelled message;
+    mesh::CancellationNotice message;
   };
   // std::monostate: nothing, after a wait for something.
   using Work = std::variant<std::monostate, ledger::Transaction, Notification>;
@@ -45,7 +45,7 @@
   SharedState& shared_;
   TransactionIds& ids_;
   state::Client client_;
-  std::map<std::string, std::unique_ptr<mesh::Peer>> peers_;  // by label
+  std::map<std::string, std::unique_ptr<mesh::PeerClient>> peers_;  // by label
 };
 
 }  // namespace rookdyke
--- a/src/daemon/command_dispatcher.cpp
+++ b/src/daemon/command_dispatcher.cpp
@@ -66,7 +66,8 @@
   http.set_connection_timeout(kConnectTimeout);
   http.set_read_timeout(kTransferTimeout);
   http.set_write_timeout(kTransferTimeout);
-  const std::string body = wire::pack(wire::direct_command(work.fencing_token, work.command));
+  const std::string body =
+      wire::pack(wire::encode_direct_command(work.fencing_token, work.command));
   // Right before it goes out: this process may have been suspended, or have stepped down.
   if (!shared_.term_confirmed(work.fencing_token))
     return {.answered = true, .sent = false, .heartbeat = std::nullopt};
--- a/src/daemon/heartbeat_endpoint.cpp
+++ b/src/daemon/heartbeat_endpoint.cpp
@@ -42,7 +42,7 @@
   if (!commands) {
     spdlog::debug("heartbeat of {} redirected to {}", heartbeat.machine,
                   leader.empty() ? "any controller" : leader);
-    return {http_status::kMisdirected, wire::redirect(leader)};
+    return {http_status::kMisdirected, wire::encode_redirect(leader)};
   }
   shared_.wakeups().transactions.notify_one();
   if (commands->needs_round) shared_.wakeups().scheduling.notify_one();
@@ -76,7 +76,8 @@
     state.step_down(Role::follower, "a worker has seen a higher token");
     return std::nullopt;
   }
-  Answer answer{http_status::kOk, wire::heartbeat_reply(state.fencing_token(), out.commands)};
+  Answer answer{http_status::kOk,
+                wire::encode_heartbeat_reply(state.fencing_token(), out.commands)};
   return LeaderAnswer{std::move(answer), scheduler->needs_round()};
 }
 
--- a/src/daemon/mesh_endpoint.cpp
+++ b/src/daemon/mesh_endpoint.cpp
@@ -15,7 +15,7 @@
 void MeshEndpoint::serve(const httplib::Request& request, httplib::Response& response) {
   const bool post = request.method == "POST";
   if (post && request.target == mesh::kCancelledPath) {
-    const auto cancelled = mesh::decode_cancelled(request.body);
+    const auto cancelled = mesh::decode_cancellation_notice(request.body);
     const nlohmann::json answer = {{"token", cancelled ? on_cancelled(*cancelled) : 0}};
     response.set_content(answer.dump(), kContentType);
   } else if (post && request.target == mesh::kViewPath) {
@@ -28,7 +28,7 @@
 
 // Rows of cancelled jobs. Returns the fencing token under which their tasks will be stopped; 0 if
 // that cannot be promised.
-uint64_t MeshEndpoint::on_cancelled(const mesh::Cancelled& cancelled) {
+uint64_t MeshEndpoint::on_cancelled(const mesh::CancellationNotice& cancelled) {
   auto state = shared_.lock();
   if (state->leads() && cancelled.fencing_token > state->fencing_token())
     state->step_down(Role::follower, "a sibling knows a newer leader");
@@ -36,7 +36,7 @@
   if (!state->leads() || !scheduler || scheduler->has_lost_leadership() ||
       !state->lease_confirmed(steady_now()))
     return 0;
-  for (const mesh::Cancelled::Row& message_row : cancelled.rows) {
+  for (const mesh::CancellationNotice::Row& message_row : cancelled.rows) {
     const auto row = ledger::decode_job(message_row.job, message_row.value);
     if (!row || row->status != ledger::JobStatus::cancelled) return 0;
     state->apply({ledger::job_key(message_row.job), message_row.value, message_row.version, false});
--- a/src/daemon/mesh_endpoint.h
+++ b/src/daemon/mesh_endpoint.h
@@ -18,7 +18,7 @@
   void serve(const httplib::Request& request, httplib::Response& response);
 
  private:
-  uint64_t on_cancelled(const mesh::Cancelled& cancelled);
+  uint64_t on_cancelled(const mesh::CancellationNotice& cancelled);
 
   SharedState& shared_;
   PeerExchange& peers_;
--- a/src/daemon/peer_exchange.cpp
+++ b/src/daemon/peer_exchange.cpp
@@ -21,7 +21,7 @@
       ids_(ids) {
   peers_.reserve(config.siblings.size());
   for (const Sibling& sibling : config.siblings)
-    peers_.push_back(std::make_unique<mesh::Peer>(sibling));
+    peers_.push_back(std::make_unique<mesh::PeerClient>(sibling));
 }
 
 void PeerExchange::run() {
@@ -57,7 +57,7 @@
   state->update_write_share(now);
 }
 
-void PeerExchange::exchange_with(mesh::Peer& peer, const nlohmann::json& image_locations) {
+void PeerExchange::exchange_with(mesh::PeerClient& peer, const nlohmann::json& image_locations) {
   mesh::View ours = view();
   ours.image_locations = image_locations;
   const double sent = steady_now();
--- a/src/daemon/peer_exchange.h
+++ b/src/daemon/peer_exchange.h
@@ -33,14 +33,14 @@
  private:
   void update_demand();
   nlohmann::json image_locations_if_due();
-  void exchange_with(mesh::Peer& peer, const nlohmann::json& image_locations);
+  void exchange_with(mesh::PeerClient& peer, const nlohmann::json& image_locations);
 
   const Config& config_;
   SharedState& shared_;
   state::RateLimiters& limiters_;
   Reachability& reachability_;
   const TransactionIds& ids_;
-  std::vector<std::unique_ptr<mesh::Peer>> peers_;
+  std::vector<std::unique_ptr<mesh::PeerClient>> peers_;
   double next_image_locations_ = 0;
 };
 
--- a/src/daemon/replica_ledger.cpp
+++ b/src/daemon/replica_ledger.cpp
@@ -30,9 +30,9 @@
 
 bool ReplicaLedger::wait_for_barrier(double timeout_s) { return read_barrier_.wait(timeout_s); }
 
-void ReplicaLedger::read(const std::function<void(const LedgerCache&)>& look) const {
+void ReplicaLedger::read(const std::function<void(const LedgerCache&)>& callback) const {
   auto state = shared_.lock();
-  look(state->ledger_cache());
+  callback(state->ledger_cache());
 }
 
 std::vector<MachineType> ReplicaLedger::machine_types() const {
--- a/src/daemon/replica_ledger.h
+++ b/src/daemon/replica_ledger.h
@@ -23,7 +23,7 @@
                 ReadBarrier& read_barrier, const Reachability& reachability, TransactionIds& ids);
 
   bool wait_for_barrier(double timeout_s) override;
-  void read(const std::function<void(const LedgerCache&)>& look) const override;
+  void read(const std::function<void(const LedgerCache&)>& callback) const override;
   std::vector<MachineType> machine_types() const override;
   std::string new_transaction_id() override;
   std::optional<ledger::Result> commit(const ledger::Transaction& transaction,
--- a/src/mesh/mesh.cpp
+++ b/src/mesh/mesh.cpp
@@ -16,7 +16,9 @@
 constexpr std::chrono::milliseconds kConnectTimeout(400);
 constexpr std::chrono::milliseconds kTransferTimeout(500);
 
-// The library copies recursively: a message of deeply nested lists would overflow a small stack.
+// Parses a JSON text; the result is discarded if the text is malformed or nested too deeply. The
+// library copies values recursively, so deeply nested lists would overflow the small stack of a
+// thread.
 json parse(const std::string& text) {
   bool too_deep = false;
   const auto accept = [&](int depth, json::parse_event_t, json&) {
@@ -27,13 +29,14 @@
   return too_deep ? json(json::value_t::discarded) : parsed;
 }
 
-// Names come from users and workers: invalid UTF-8 is replaced, and throws nothing.
+// Replaces invalid UTF-8, which names from users and workers may contain; the default is to throw.
 std::string dump(const json& message) {
   return message.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// A revision of the ledger, or a fencing token, which is one. -1 would be read as the highest of
-// all tokens, and depose every leader for ever.
+// Parses a revision of the state service; fencing tokens are revisions too. Negative and excessive
+// numbers are invalid: -1 would be converted to the highest token, which would depose every leader
+// permanently.
 std::optional<uint64_t> parse_revision(const json& value) {
   if (!value.is_number_unsigned() || value.get<uint64_t>() > kMaxRevision) return std::nullopt;
   return value.get<uint64_t>();
@@ -65,7 +68,7 @@
     message.at("label").get_to(view.label);
     message.at("leader").get_to(view.leader);
     const auto fencing_token = parse_revision(message.at("token"));
-    // One that is too high would confirm cancellations that no leader knows.
+    // If `read_to` were too high, cancellations that no leader knows would be confirmed to users.
     const auto read_to = parse_revision(message.value("read_to", json(uint64_t{0})));
     if (!fencing_token || !read_to) return std::nullopt;
     view.fencing_token = *fencing_token;
@@ -83,33 +86,33 @@
   }
 }
 
-json encode(const Cancelled& cancelled) {
+json encode(const CancellationNotice& notice) {
   json rows = json::array();
-  for (const Cancelled::Row& row : cancelled.rows)
+  for (const CancellationNotice::Row& row : notice.rows)
     rows.push_back(json::array({row.job, row.value, row.version}));
-  return {{"token", cancelled.fencing_token}, {"rows", std::move(rows)}};
+  return {{"token", notice.fencing_token}, {"rows", std::move(rows)}};
 }
 
-std::optional<Cancelled> decode_cancelled(const std::string& text) {
+std::optional<CancellationNotice> decode_cancellation_notice(const std::string& text) {
   const json message = parse(text);
   if (message.is_discarded()) return std::nullopt;
   try {
-    Cancelled cancelled;
+    CancellationNotice notice;
     const auto fencing_token = parse_revision(message.at("token"));
     if (!fencing_token) return std::nullopt;
-    cancelled.fencing_token = *fencing_token;
+    notice.fencing_token = *fencing_token;
     for (const json& row : message.at("rows")) {
       const auto version = parse_revision(row.at(2));
       if (!version) return std::nullopt;
-      cancelled.rows.push_back({row.at(0).get<std::string>(), row.at(1), *version});
+      notice.rows.push_back({row.at(0).get<std::string>(), row.at(1), *version});
     }
-    return cancelled;
+    return notice;
   } catch (const json::exception&) {
     return std::nullopt;
   }
 }
 
-Peer::Peer(const Sibling& sibling)
+PeerClient::PeerClient(const Sibling& sibling)
     : label_(sibling.label), http_(sibling.mesh.host, sibling.mesh.port) {
   http_.set_keep_alive(true);
   http_.set_tcp_nodelay(true);
@@ -118,18 +121,18 @@
   http_.set_write_timeout(kTransferTimeout);
 }
 
-std::optional<View> Peer::exchange(const View& ours) {
-  const auto response = http_.Post(kViewPath, serialize(ours), kContentType);
+std::optional<View> PeerClient::exchange(const View& own_view) {
+  const auto response = http_.Post(kViewPath, serialize(own_view), kContentType);
   if (!response || response->status != kOk) return std::nullopt;
   return decode(response->body);
 }
 
-std::optional<uint64_t> Peer::send_cancellations(const Cancelled& cancelled) {
-  const auto response = http_.Post(kCancelledPath, dump(encode(cancelled)), kContentType);
+std::optional<uint64_t> PeerClient::send_cancellations(const CancellationNotice& notice) {
+  const auto response = http_.Post(kCancelledPath, dump(encode(notice)), kContentType);
   if (!response || response->status != kOk) return std::nullopt;
-  const json answer = parse(response->body);
-  if (!answer.is_object() || !answer.contains("token")) return std::nullopt;
-  return parse_revision(answer["token"]);
+  const json reply = parse(response->body);
+  if (!reply.is_object() || !reply.contains("token")) return std::nullopt;
+  return parse_revision(reply["token"]);
 }
 
 }  // namespace rookdyke::mesh
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -1,9 +1,13 @@
 #pragma once
-// The messages that sibling controllers exchange on mesh_addr, in JSON, and the client for one
-// sibling. Views say who leads with which token, whether the state service answers, and how many
-// changes a second their sender needs: a partitioned leader steps down sooner, and an outage is
-// told from a partition. Notifications of cancellations let users hear of them
-// (leadership/cancellations.h). Keys and paths are fixed: older versions understand them.
+// The JSON messages that the controllers of a deployment exchange on mesh_addr, and the client for
+// one peer controller.
+//
+// A view carries the leader that its sender knows, whether the sender reaches the state service,
+// and its demand for writes. Through views, a leader that is partitioned from the state service
+// learns of its successor and steps down earlier, and controllers distinguish an outage of the
+// state service from a partition. A cancellation notice informs the leader of cancellations, so
+// that they can be confirmed to users (leadership/cancellations.h). Paths and keys must not change,
+// since older versions of the program use them too.
 
 #include <httplib.h>
 
@@ -19,54 +23,55 @@
 inline constexpr const char* kViewPath = "/mesh/v1/view";
 inline constexpr const char* kCancelledPath = "/mesh/v1/cancelled";
 
-// What a controller knows, as it tells its siblings.
+// The state that a controller reports to its peer controllers.
 struct View {
   std::string label;
-  std::string incarnation;         // names the process, not the controller
-  std::string leader;              // its label; empty: none known
-  uint64_t fencing_token = 0;      // the highest known of
-  uint64_t read_to = 0;            // a leader has read the ledger up to this revision
-  bool state_ok = false;           // the state service answered lately
-  double write_demand = 0;         // changes a second that it needs
-  nlohmann::json image_locations;  // from the leader, now and then; otherwise null
-  // The state service has lowered its limit of changes a second. Version 0.1 ignores this and the
-  // next, and sends neither.
+  std::string incarnation;         // identifies the process; changes when the controller restarts
+  std::string leader;              // label of the known leader; empty: none is known
+  uint64_t fencing_token = 0;      // the highest that the sender knows
+  uint64_t read_to = 0;            // revision up to which a leader has read the ledger
+  bool state_ok = false;           // the state service responded to the sender recently
+  double write_demand = 0;         // changes per second that the sender needs
+  nlohmann::json image_locations;  // sent periodically by the leader; otherwise null
+  // Whether the state service has lowered its limit of changes per second, and its limits of sizes.
+  // Version 0.1 neither sends nor reads these two fields.
   bool rate_lowered = false;
-  bool sizes_lowered = false;  // the same of its limits of sizes
+  bool sizes_lowered = false;
 };
 
 nlohmann::json encode(const View& view);
-// The encoded view as it is sent.
+// Returns the body of the message that carries the view.
 std::string serialize(const View& view);
-// Empty: malformed.
+// Returns nullopt if the message is malformed.
 std::optional<View> decode(const std::string& text);
 
-// Notifies the holder of the leader key of cancelled jobs, whose rows are durable already.
-struct Cancelled {
+// Informs the holder of the leader key of cancelled jobs, whose rows are already durable.
+struct CancellationNotice {
   struct Row {
     std::string job;
     nlohmann::json value;
     uint64_t version = 0;
   };
-  uint64_t fencing_token = 0;  // the leader's, as the sender knows it
+  uint64_t fencing_token = 0;  // the leader's fencing token, as far as the sender knows
   std::vector<Row> rows;
 };
 
-nlohmann::json encode(const Cancelled& cancelled);
-// Empty: malformed.
-std::optional<Cancelled> decode_cancelled(const std::string& text);
+nlohmann::json encode(const CancellationNotice& notice);
+// Returns nullopt if the message is malformed.
+std::optional<CancellationNotice> decode_cancellation_notice(const std::string& text);
 
-// The client for one sibling. For one thread; every call has timeouts below a second.
-class Peer {
+// HTTP client for one peer controller. Not thread-safe. Connecting, sending and receiving each time
+// out after at most half a second.
+class PeerClient {
  public:
-  explicit Peer(const Sibling& sibling);
+  explicit PeerClient(const Sibling& sibling);
 
   const std::string& label() const { return label_; }
-  // Sends this controller's view and returns the sibling's; empty: no answer.
-  std::optional<View> exchange(const View& ours);
-  // The token that the sibling leads with, having applied the rows; 0: it does not lead. Empty: no
-  // answer.
-  std::optional<uint64_t> send_cancellations(const Cancelled& cancelled);
+  // Sends this controller's view and returns the peer's, or nullopt without a valid response.
+  std::optional<View> exchange(const View& own_view);
+  // Returns the fencing token under which the peer leads and has applied the rows, 0 if it has not
+  // applied them (for example, because it does not lead), or nullopt without a valid response.
+  std::optional<uint64_t> send_cancellations(const CancellationNotice& notice);
 
  private:
   std::string label_;
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -110,7 +110,7 @@
     result.revision = revision.value_or(0);
   } else if (answer.status == http_status::kConflict) {
     result.outcome = Outcome::conflict;
-    result.failed = wire::parse_failed(answer.body);
+    result.failed = wire::parse_failed_keys(answer.body);
   } else if (answer.status == http_status::kBadRequest) {
     result.outcome = Outcome::rejected;
     spdlog::warn("state: a transaction is too large or malformed, or its lease is over");
@@ -121,9 +121,10 @@
 }
 
 ledger::Result Client::commit(const ledger::Transaction& transaction, double max_wait_s) {
-  return commit_result(call({Method::post, wire::kTransactionPath, wire::transaction(transaction),
-                             static_cast<double>(transaction.changes.size())},
-                            max_wait_s));
+  return commit_result(
+      call({Method::post, wire::kTransactionPath, wire::encode_transaction(transaction),
+            static_cast<double>(transaction.changes.size())},
+           max_wait_s));
 }
 
 ledger::Result Client::commit_repeated(const ledger::Transaction& transaction, double max_wait_s) {
@@ -182,9 +183,9 @@
 
 std::optional<uint64_t> Client::grant(double ttl_s) {
   const Answer answer =
-      call_without_waiting({Method::post, wire::kLeasesPath, wire::lease(ttl_s), 0});
+      call_without_waiting({Method::post, wire::kLeasesPath, wire::encode_lease_request(ttl_s), 0});
   if (answer.status != http_status::kOk) return std::nullopt;
-  return wire::parse_lease(answer.body);
+  return wire::parse_lease_id(answer.body);
 }
 
 Client::Renewal Client::renew(uint64_t lease) {
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-// What holds for a machine type that does not say.
+// Defaults for machine types without these fields.
 constexpr double kDefaultFetchGbPerS = 1;
 constexpr double kDefaultBootS = 60;
-// Times are divided by these, so that they are never 0.
+// Lower bounds, which prevent division by zero.
 constexpr double kMinFetchGbPerS = 1e-3;
 constexpr double kMinBootS = 1;
 
@@ -27,12 +27,12 @@
     {value::machine_state::kFailed, ListedMachine::State::failed},
 }};
 
-bool has_required_amount(const json& message, const char* name) {
+bool has_amount(const json& message, const char* name) {
   const json* value = find_field(message, name);
   return value && is_amount(*value);
 }
 
-bool has_no_invalid_amount(const json& message, const char* name) {
+bool is_absent_or_amount(const json& message, const char* name) {
   const json* value = find_field(message, name);
   return !value || is_amount(*value);
 }
@@ -42,15 +42,15 @@
   const json* name = find_field(message, names::kName);
   if (!name || !is_name(*name)) return false;
   for (const char* required : {names::kCpus, names::kGpus, names::kMemoryGb})
-    if (!has_required_amount(message, required)) return false;
+    if (!has_amount(message, required)) return false;
   for (const char* optional : {names::kCacheGb, names::kFetchGbPerS, names::kPricePerHour,
                                names::kSpotPricePerHour, names::kBootS})
-    if (!has_no_invalid_amount(message, optional)) return false;
+    if (!is_absent_or_amount(message, optional)) return false;
   const json* zones = find_field(message, names::kZones);
   return is_list(zones) && std::all_of(zones->begin(), zones->end(), is_name);
 }
 
-std::optional<MachineType> parse_type(const json& message) {
+std::optional<MachineType> parse_machine_type(const json& message) {
   namespace names = field::machine_type;
   if (!is_machine_type(message)) return std::nullopt;
   MachineType type;
@@ -77,7 +77,7 @@
   machine.type = text_or(message, field::machine_list::kType);
   machine.zone = text_or(message, field::machine_list::kZone);
   machine.spot = flag_or(message, field::machine_list::kSpot);
-  machine.state = value_named(kMachineStates, text_or(message, field::machine_list::kState))
+  machine.state = enum_from_name(kMachineStates, text_or(message, field::machine_list::kState))
                       .value_or(ListedMachine::State::booting);
   machine.age_s = number_or(message, field::machine_list::kAgeS, 0);
   return machine;
@@ -85,12 +85,12 @@
 
 }  // namespace
 
-std::optional<std::vector<MachineType>> parse_types(const json& message) {
+std::optional<std::vector<MachineType>> parse_machine_types(const json& message) {
   const json* list = find_field(message, field::machine_type::kTypes);
   if (!is_list(list)) return std::nullopt;
   std::vector<MachineType> types;
   for (const json& entry : *list) {
-    auto type = parse_type(entry);
+    auto type = parse_machine_type(entry);
     if (!type || has_type(types, type->name)) {
       spdlog::error("cloud: the machine types cannot be read");
       return std::nullopt;
@@ -101,7 +101,7 @@
   return types;
 }
 
-json rent(const RentalRequest& request) {
+json encode_rental_request(const RentalRequest& request) {
   return {{field::rental::kRequestId, request.name},
           {field::rental::kType, request.type},
           {field::rental::kZone, request.zone},
@@ -109,7 +109,7 @@
           {field::rental::kCount, request.count}};
 }
 
-std::optional<std::vector<std::string>> parse_rented(const json& message) {
+std::optional<std::vector<std::string>> parse_rented_machines(const json& message) {
   const json* list = find_field(message, field::rental::kMachines);
   if (!is_list(list)) return std::nullopt;
   std::vector<std::string> names;
@@ -119,20 +119,20 @@
 }
 
 bool is_no_capacity(const json& message) {
-  return text_or(message, field::refusal::kReason) == value::refusal::kNoCapacity;
+  return text_or(message, field::error_response::kReason) == value::error_response::kNoCapacity;
 }
 
-json return_machines(const std::vector<std::string>& names) {
+json encode_return_request(const std::vector<std::string>& names) {
   return {{field::rental::kMachines, names}};
 }
 
-std::string list_path(const std::string& after, int max_count) {
+std::string machine_list_path(const std::string& after, int max_count) {
   std::string path = std::string(kMachinesPath) + "?most=" + std::to_string(max_count);
   if (!after.empty()) path += "&after=" + percent_encode(after);
   return path;
 }
 
-std::optional<MachinePage> parse_machines(const json& message) {
+std::optional<MachinePage> parse_machine_page(const json& message) {
   const json* list = find_field(message, field::machine_list::kMachines);
   if (!is_list(list)) return std::nullopt;
   MachinePage page;
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -1,6 +1,6 @@
 #pragma once
 // Messages between the leader and the cloud: machine types, rentals, returns and the list of rented
-// machines. Called by src/cloud/. Decoding never throws.
+// machines. Used by src/cloud/. Decoding never throws.
 
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -14,27 +14,29 @@
 
 using nlohmann::json;
 
-// The machine types that can be rented. Empty if one of them is invalid: jobs are admitted by this
-// list, and without one type, jobs that could run would be refused.
-std::optional<std::vector<MachineType>> parse_types(const json& message);
+// Decodes the machine types that can be rented. Returns nullopt if any of them is invalid: jobs are
+// admitted by this list, so jobs that could run would be refused if one type were left out.
+std::optional<std::vector<MachineType>> parse_machine_types(const json& message);
 
-// The request for machines, and the names of those that were rented (empty: invalid).
-json rent(const RentalRequest& request);
-std::optional<std::vector<std::string>> parse_rented(const json& message);
-// Whether a refused rental failed for want of capacity.
+// Encodes a request to rent machines.
+json encode_rental_request(const RentalRequest& request);
+// Decodes the names of the rented machines. Returns nullopt if there is no list; invalid names are
+// left out.
+std::optional<std::vector<std::string>> parse_rented_machines(const json& message);
+// Whether a rental was refused because the cloud has no capacity.
 bool is_no_capacity(const json& message);
 
-// The request to return these machines.
-json return_machines(const std::vector<std::string>& names);
+// Encodes a request to return machines.
+json encode_return_request(const std::vector<std::string>& names);
 
-// A page of the list of rented machines, in the order of their names.
+// A page of the list of rented machines, ordered by name.
 struct MachinePage {
   std::vector<ListedMachine> machines;
-  bool more = false;  // the list goes on after the last of them
+  bool more = false;  // whether more machines follow
 };
-// The path of the page that begins after that name (empty: the first page).
-std::string list_path(const std::string& after, int max_count);
-// Empty: invalid. Entries without a valid name are left out.
-std::optional<MachinePage> parse_machines(const json& message);
+// Returns the path of the page of machines whose names follow `after` (empty: the first page).
+std::string machine_list_path(const std::string& after, int max_count);
+// Returns nullopt if there is no list; machines without a valid name are left out.
+std::optional<MachinePage> parse_machine_page(const json& message);
 
 }  // namespace rookdyke::wire
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -1,30 +1,28 @@
 #pragma once
-// The protocol's field names and values, each under the field's term. This is the only place that
-// holds them; the encoders and decoders of src/wire/ use the constants, and all other code uses the
-// structs of src/model/ and src/ledger/.
+// The field names and values of the protocol. The constants are named by the terms of this code
+// base; their strings are fixed by the protocol. The encoders and decoders of src/wire/ use these
+// constants, and all other code uses the structs of src/model/ and src/ledger/.
 //
-// Glossary, protocol's word -> term:
+// Glossary, from the protocol's word to the term of this code base:
 //
 //   crew      team                        tenure    epoch of a worker's session
-//   lot       job class                   tally     sequence number of a worker's message
+//   lot       job class                   tally     sequence number of a heartbeat
 //   kit       container image             warrant   fencing token
 //   breed     machine type                steward   leader
-//   yard      zone                        recall_s  notice before a spot machine is reclaimed
-//   croft     machine                     orders    commands to a worker
-//   loaners   spot machines               leave_s   grace period of a stop
-//   shift     task                        hire      id of a rental request
-//   go        attempt                     stamp     version of a key
-//   standing  status, phase or state      ledger    revision of the store
-//   rank      priority                    tether    lease
-//   ensemble  gang                        marker_s  checkpoint interval
-//   scatter   spread over zones           stow_s    duration of a checkpoint
+//   yard      zone                        recall_s  reclaim notice: time until a machine is
+//   reclaimed croft     machine                     orders    commands to a worker loaners   spot
+//   machines               leave_s   grace period of a stop command shift     task hire      id of
+//   a rental request go        attempt                     stamp     version of a row standing
+//   status, phase or state      ledger    revision of the state service rank      priority tether
+//   lease ensemble  gang                        marker_s  checkpoint interval scatter   spread over
+//   zones           stow_s    checkpoint duration
 
 namespace rookdyke::wire {
 
-// One namespace per message. Names that end in S are seconds, in Gb gigabytes.
+// One namespace per message. Suffixes name the unit: S for seconds, Gb for gigabytes.
 namespace field {
 
-// A job as its user submits it.
+// A submitted job.
 namespace job {
 inline constexpr const char* kId = "id";
 inline constexpr const char* kJobClass = "lot";
@@ -48,7 +46,7 @@
 inline constexpr const char* kDeadlineS = "due_s";
 }  // namespace job
 
-// The answer to a submission, a poll or a cancellation.
+// The response to a submission, a poll or a cancellation.
 namespace job_status {
 inline constexpr const char* kId = "id";
 inline constexpr const char* kStatus = "standing";
@@ -56,10 +54,10 @@
 inline constexpr const char* kRunningTasks = "running";
 }  // namespace job_status
 
-// The body of an answer that refuses a request.
-namespace refusal {
+// The body of a response that refuses a request.
+namespace error_response {
 inline constexpr const char* kReason = "error";
-}  // namespace refusal
+}  // namespace error_response
 
 // A worker's heartbeat.
 namespace heartbeat {
@@ -84,7 +82,7 @@
 inline constexpr const char* kCheckpointSaved = "stored";
 }  // namespace task
 
-// Commands to a worker: in the answer to a heartbeat, or sent directly.
+// Commands to a worker: in the reply to a heartbeat, or sent directly.
 namespace command {
 inline constexpr const char* kFencingToken = "warrant";
 inline constexpr const char* kEpoch = "tenure";
@@ -95,12 +93,12 @@
 inline constexpr const char* kGracePeriodS = "leave_s";
 }  // namespace command
 
-// The answer to a heartbeat that reached a follower.
+// The reply to a heartbeat that reached a follower.
 namespace redirect {
 inline constexpr const char* kLeader = "steward";
 }  // namespace redirect
 
-// The cloud's machine types.
+// The machine types of the cloud.
 namespace machine_type {
 inline constexpr const char* kTypes = "breeds";
 inline constexpr const char* kName = "name";
@@ -115,7 +113,7 @@
 inline constexpr const char* kZones = "yards";
 }  // namespace machine_type
 
-// Renting and returning machines.
+// Requests that rent and return machines, and their responses.
 namespace rental {
 inline constexpr const char* kRequestId = "hire";
 inline constexpr const char* kType = "breed";
@@ -125,7 +123,7 @@
 inline constexpr const char* kMachines = "crofts";
 }  // namespace rental
 
-// The cloud's list of rented machines.
+// A page of the cloud's list of rented machines.
 namespace machine_list {
 inline constexpr const char* kMachines = "crofts";
 inline constexpr const char* kMore = "truncated";
@@ -138,7 +136,7 @@
 inline constexpr const char* kAgeS = "age_s";
 }  // namespace machine_list
 
-// The state service: rows, transactions, events and leases.
+// The rows, transactions, events and leases of the state service.
 namespace store {
 inline constexpr const char* kRevision = "ledger";
 inline constexpr const char* kKey = "k";
@@ -158,7 +156,7 @@
 
 }  // namespace field
 
-// The values of fields that take one of a few.
+// The values of enumerated fields.
 namespace value {
 
 namespace shape {
@@ -189,7 +187,7 @@
 inline constexpr const char* kExited = "exited";
 }  // namespace phase
 
-// Any other cause is an error of the task.
+// Every other cause means that the task failed with an error.
 namespace exit_cause {
 inline constexpr const char* kDone = "done";
 inline constexpr const char* kStopped = "halted";
@@ -206,16 +204,16 @@
 inline constexpr const char* kForget = "clear";
 }  // namespace command
 
-// Any other state is a machine that still boots.
+// Every other state means that the machine is still booting.
 namespace machine_state {
 inline constexpr const char* kRunning = "running";
 inline constexpr const char* kFailed = "failed";
 }  // namespace machine_state
 
-// The cloud's reason for a rental that it cannot serve now.
-namespace refusal {
+// The reason given by the cloud when it refuses a rental for lack of machines.
+namespace error_response {
 inline constexpr const char* kNoCapacity = "no capacity";
-}  // namespace refusal
+}  // namespace error_response
 
 }  // namespace value
 
--- a/src/wire/field_reader.cpp
+++ b/src/wire/field_reader.cpp
@@ -27,7 +27,7 @@
   return value && value->is_boolean() ? value->get<bool>() : fallback;
 }
 
-std::optional<uint64_t> whole(const json& message, const char* name) {
+std::optional<uint64_t> find_unsigned(const json& message, const char* name) {
   const json* value = find_field(message, name);
   if (!value || !value->is_number_integer()) return std::nullopt;
   if (!value->is_number_unsigned() && value->get<int64_t>() < 0) return std::nullopt;
--- a/src/wire/field_reader.h
+++ b/src/wire/field_reader.h
@@ -1,7 +1,7 @@
 #pragma once
-// Reading typed fields out of messages that others sent. A field that is missing, null or of
-// another type is never converted: the library would turn -1 into a huge count and true into 1.
-// Used by the decoders of src/wire/ only. No function here throws.
+// Typed access to the fields of received messages, for the decoders of src/wire/ only. Values of
+// another type are never converted: the library would convert -1 to a huge unsigned number and true
+// to 1. No function throws.
 
 #include <array>
 #include <cstdint>
@@ -14,48 +14,48 @@
 
 using nlohmann::json;
 
-// Limits of what is believed.
+// Limits of received values.
 inline constexpr size_t kMaxNameBytes = 200;
 inline constexpr double kMaxAmount = 1e12;
 
-// The field of that name; null if the message is no object, or the field missing or null.
+// Returns the named field, or nullptr if it is missing or null, or if the message is not an object.
 const json* find_field(const json& message, const char* name);
 
-// The field's value; the fallback if it is missing or of another type.
+// Return the value of the field, or the fallback if it is missing, null or of another type. Numbers
+// that are not finite count as missing.
 std::string text_or(const json& message, const char* name, const std::string& fallback = "");
-double number_or(const json& message, const char* name, double fallback);  // finite
+double number_or(const json& message, const char* name, double fallback);
 bool flag_or(const json& message, const char* name, bool fallback = false);
 
-// A whole number of at least 0; empty if the field is missing or anything else.
-std::optional<uint64_t> whole(const json& message, const char* name);
+// Returns the value of the field, or nullopt if it is not a non-negative integer.
+std::optional<uint64_t> find_unsigned(const json& message, const char* name);
 
-// Whether the value is a list.
 bool is_list(const json* value);
 // Whether the value is a finite number from 0 to kMaxAmount.
 bool is_amount(const json& value);
-// Whether the value is a text that can serve as a name: not empty, at most kMaxNameBytes, and UTF-8
-// (siblings get names as JSON, which holds no other text).
+// Whether the value is a valid name: a string that is not empty, not longer than kMaxNameBytes, and
+// valid UTF-8. Names are sent to peer controllers in JSON, which requires UTF-8.
 bool is_name(const json& value);
 
-// A value of the protocol and the enumerator that stands for it.
+// Maps a value of the protocol to an enumerator.
 template <class Enum>
 struct NamedValue {
   std::string_view name;
   Enum value;
 };
 
-// The enumerator of that name; empty: there is none.
+// Returns the enumerator of that name, or nullopt if there is none.
 template <class Enum, size_t N>
-std::optional<Enum> value_named(const std::array<NamedValue<Enum>, N>& values,
-                                std::string_view name) {
+std::optional<Enum> enum_from_name(const std::array<NamedValue<Enum>, N>& values,
+                                   std::string_view name) {
   for (const NamedValue<Enum>& candidate : values)
     if (candidate.name == name) return candidate.value;
   return std::nullopt;
 }
 
-// The name of that enumerator; empty: it has none.
+// Returns the name of the enumerator, or an empty string if it has none.
 template <class Enum, size_t N>
-std::string_view name_of(const std::array<NamedValue<Enum>, N>& values, Enum value) {
+std::string_view enum_to_name(const std::array<NamedValue<Enum>, N>& values, Enum value) {
   for (const NamedValue<Enum>& candidate : values)
     if (candidate.value == value) return candidate.name;
   return "";
--- a/src/wire/message_pack.cpp
+++ b/src/wire/message_pack.cpp
@@ -6,9 +6,9 @@
 
 constexpr size_t kMaxDepth = 32;
 
-// Stops a parse at kMaxDepth: the library descends by recursion, and a body of nothing but
-// nested lists would overflow the small stack of a connection's thread.
-class DepthGuard : public nlohmann::json_sax<json> {
+// Stops parsing beyond kMaxDepth. The library parses recursively, so a body of deeply nested lists
+// would overflow the small stack of a connection's thread.
+class DepthLimiter : public nlohmann::json_sax<json> {
  public:
   bool null() override { return true; }
   bool boolean(bool) override { return true; }
@@ -19,15 +19,15 @@
   bool binary(binary_t&) override { return true; }
   bool start_object(std::size_t) override { return ++depth_ <= kMaxDepth; }
   bool key(string_t&) override { return true; }
-  bool end_object() override { return leave(); }
+  bool end_object() override { return exit_container(); }
   bool start_array(std::size_t) override { return ++depth_ <= kMaxDepth; }
-  bool end_array() override { return leave(); }
+  bool end_array() override { return exit_container(); }
   bool parse_error(std::size_t, const std::string&, const nlohmann::detail::exception&) override {
     return false;
   }
 
  private:
-  bool leave() {
+  bool exit_container() {
     --depth_;
     return true;
   }
@@ -45,8 +45,8 @@
 
 std::optional<json> unpack(const std::string& body) {
   try {
-    DepthGuard guard;
-    if (!json::sax_parse(body, &guard, json::input_format_t::msgpack)) return std::nullopt;
+    DepthLimiter limiter;
+    if (!json::sax_parse(body, &limiter, json::input_format_t::msgpack)) return std::nullopt;
     json message = json::from_msgpack(body, true, false);
     if (message.is_discarded()) return std::nullopt;
     return message;
--- a/src/wire/message_pack.h
+++ b/src/wire/message_pack.h
@@ -1,5 +1,6 @@
 #pragma once
-// MessagePack bodies, the encoding of all messages of the protocol.
+// MessagePack, the encoding of all messages of the protocol except those between controllers
+// (mesh/mesh.h).
 
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -9,14 +10,14 @@
 
 using nlohmann::json;
 
-// The Content-Type of all bodies.
+// The Content-Type of MessagePack bodies.
 inline constexpr const char* kContentType = "application/msgpack";
 
-// The body that holds this message.
+// Encodes a message as the body of a request or response.
 std::string pack(const json& message);
 
-// The message that a body holds; empty if it is not exactly one well-formed message. Nesting deeper
-// than any message of the protocol is refused before it can exhaust the caller's stack.
+// Decodes a body. Returns nullopt if it is not exactly one well-formed message, or if it is nested
+// more deeply than any message of the protocol, which could exhaust the caller's stack.
 std::optional<json> unpack(const std::string& body);
 
 }  // namespace rookdyke::wire
--- a/src/wire/paths.h
+++ b/src/wire/paths.h
@@ -1,17 +1,17 @@
 #pragma once
-// The protocol's fixed HTTP paths. Paths with parameters are built by functions in
+// The fixed HTTP paths of the protocol. Paths with parameters are built by functions in
 // cloud_messages.h and state_messages.h.
 
 namespace rookdyke::wire {
 
-// Served by a controller to users.
+// Served by controllers to users.
 inline constexpr const char* kJobsPath = "/v2/runs";
-inline constexpr const char* kCancelSuffix = "/abort";  // after a job's path
-// Served by a controller to the platform's health checks and to workers.
+inline constexpr const char* kCancelSuffix = "/abort";  // appended to the path of a job
+// Served by controllers to the health checks of the platform and to workers.
 inline constexpr const char* kHealthPath = "/healthz";
-inline constexpr const char* kHeartbeatPath = "/hello";  // heartbeats
+inline constexpr const char* kHeartbeatPath = "/hello";
 
-// Served by workers: direct commands.
+// Served by workers.
 inline constexpr const char* kDirectCommandPath = "/do";
 
 // Served by the cloud.
--- a/src/wire/percent_encoding.h
+++ b/src/wire/percent_encoding.h
@@ -5,7 +5,8 @@
 
 namespace rookdyke::wire {
 
-// The text as a part of a path or query; slashes stay, as the state service expects of keys.
+// Encodes a text as part of a path or query. Slashes stay as they are, as the state service expects
+// in keys.
 std::string percent_encode(const std::string& text);
 
 }  // namespace rookdyke::wire
--- a/src/wire/state_messages.cpp
+++ b/src/wire/state_messages.cpp
@@ -28,7 +28,7 @@
 }
 
 std::optional<Row> parse_event(const json& message) {
-  const auto version = whole(message, field::store::kVersion);
+  const auto version = find_unsigned(message, field::store::kVersion);
   if (!version) return std::nullopt;
   Row row;
   row.version = *version;
@@ -46,9 +46,9 @@
   return row;
 }
 
-// Appends what `parse` makes of every entry; false: one of them is invalid.
+// Parses all entries of a list with `parse`. Returns false if any of them is invalid.
 template <class Parse>
-bool read_rows(const json& list, const Parse& parse, std::vector<Row>& rows) {
+bool parse_entries(const json& list, const Parse& parse, std::vector<Row>& rows) {
   if (!list.is_array()) return false;
   for (const json& entry : list) {
     auto row = parse(entry);
@@ -73,13 +73,13 @@
          "&hold_ms=" + std::to_string(hold_ms);
 }
 
-std::string lease_path(uint64_t lease) {
-  return std::string(kLeasesPath) + "/" + std::to_string(lease);
+std::string lease_path(uint64_t lease_id) {
+  return std::string(kLeasesPath) + "/" + std::to_string(lease_id);
 }
 
-std::string renewal_path(uint64_t lease) { return lease_path(lease) + "/renew"; }
+std::string renewal_path(uint64_t lease_id) { return lease_path(lease_id) + "/renew"; }
 
-json transaction(const ledger::Transaction& transaction) {
+json encode_transaction(const ledger::Transaction& transaction) {
   json conditions = json::array();
   for (const ledger::Condition& condition : transaction.conditions)
     conditions.push_back(encode_condition(condition));
@@ -90,10 +90,10 @@
 }
 
 std::optional<uint64_t> parse_revision(const json& message) {
-  return whole(message, field::store::kRevision);
+  return find_unsigned(message, field::store::kRevision);
 }
 
-std::vector<std::string> parse_failed(const json& message) {
+std::vector<std::string> parse_failed_keys(const json& message) {
   std::vector<std::string> keys;
   const json* list = find_field(message, field::store::kFailedKeys);
   if (!is_list(list)) return keys;
@@ -104,7 +104,7 @@
 
 std::optional<Row> parse_row(const json& message) {
   const json* key = find_field(message, field::store::kKey);
-  const auto version = whole(message, field::store::kVersion);
+  const auto version = find_unsigned(message, field::store::kVersion);
   if (!key || !key->is_string() || !version) return std::nullopt;
   Row row;
   row.key = key->get<std::string>();
@@ -120,7 +120,7 @@
   Rows rows;
   rows.revision = *revision;
   rows.more = flag_or(message, field::store::kMore);
-  if (!read_rows(*list, parse_row, rows.rows)) return std::nullopt;
+  if (!parse_entries(*list, parse_row, rows.rows)) return std::nullopt;
   return rows;
 }
 
@@ -130,18 +130,18 @@
   if (!revision) return std::nullopt;
   Rows events;
   events.revision = *revision;
-  if (list && !read_rows(*list, parse_event, events.rows)) return std::nullopt;
+  if (list && !parse_entries(*list, parse_event, events.rows)) return std::nullopt;
   return events;
 }
 
-json lease(double ttl_s) {
+json encode_lease_request(double ttl_s) {
   constexpr double kMillisecondsPerSecond = 1000;
   return {{field::store::kLeaseTtlMs,
            static_cast<int64_t>(std::lround(ttl_s * kMillisecondsPerSecond))}};
 }
 
-std::optional<uint64_t> parse_lease(const json& message) {
-  return whole(message, field::store::kLease);
+std::optional<uint64_t> parse_lease_id(const json& message) {
+  return find_unsigned(message, field::store::kLease);
 }
 
 }  // namespace rookdyke::wire
--- a/src/wire/state_messages.h
+++ b/src/wire/state_messages.h
@@ -1,7 +1,7 @@
 #pragma once
-// Messages between a replica and the state service: rows, transactions, events and leases. Called
-// by src/state/. Decoding never throws; an answer is either valid as a whole or refused, since a
-// row left out would be taken for one that does not exist.
+// Messages between a controller and the state service: rows, transactions, events and leases. Used
+// by src/state/. Decoding never throws. A response with an invalid row or event is invalid as a
+// whole, since a row that is left out would appear not to exist.
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -15,43 +15,47 @@
 
 using nlohmann::json;
 
-// A row as it was read, or the event of its last change.
+// A row of the state service, or an event that reports its last change.
 struct Row {
   std::string key;
   json value;
-  uint64_t version = 0;  // the revision of its last change
-  bool erased = false;   // only in events
+  uint64_t version = 0;  // revision of the last change
+  bool erased = false;   // the event reports a deletion; always false in reads
 };
 
-// Rows or events, in the order of the answer.
+// The rows or events of a response, in its order.
 struct Rows {
   std::vector<Row> rows;
-  bool more = false;      // the range goes on after the last of them
-  uint64_t revision = 0;  // of the state service as it answered
+  bool more = false;      // whether more rows of the range follow
+  uint64_t revision = 0;  // of the state service at the time of the response
 };
 
-// Paths: one key; the keys under a prefix, after a key (empty: from the first); the events under a
-// prefix after a revision, waiting up to hold_ms for the first.
+// Returns the path of one key.
 std::string key_path(const std::string& key);
+// Returns the path of the keys under a prefix that follow `after` (empty: from the first key).
 std::string range_path(const std::string& prefix, const std::string& after, int max_count);
+// Returns the path of the events under a prefix after revision `after`. The state service waits for
+// the first event for up to `hold_ms`.
 std::string watch_path(const std::string& prefix, uint64_t after, int hold_ms);
-// Paths: a lease, and its renewal.
-std::string lease_path(uint64_t lease);
-std::string renewal_path(uint64_t lease);
+// Return the paths that identify a lease and renew it.
+std::string lease_path(uint64_t lease_id);
+std::string renewal_path(uint64_t lease_id);
 
-// The request to execute a transaction, the revision that an executed one made (empty: invalid),
-// and the keys whose conditions failed.
-json transaction(const ledger::Transaction& transaction);
+// Encodes a request to execute a transaction.
+json encode_transaction(const ledger::Transaction& transaction);
+// Decodes the revision at which a transaction was executed; nullopt if it is invalid.
 std::optional<uint64_t> parse_revision(const json& message);
-std::vector<std::string> parse_failed(const json& message);
+// Decodes the keys whose conditions failed.
+std::vector<std::string> parse_failed_keys(const json& message);
 
-// Reads; empty: invalid.
+// Decode the responses to reads and watches; nullopt if the response is invalid.
 std::optional<Row> parse_row(const json& message);
 std::optional<Rows> parse_rows(const json& message);
 std::optional<Rows> parse_events(const json& message);
 
-// The request for a lease, and the lease that was granted (empty: invalid).
-json lease(double ttl_s);
-std::optional<uint64_t> parse_lease(const json& message);
+// Encodes a request for a lease.
+json encode_lease_request(double ttl_s);
+// Decodes the id of a granted lease; nullopt if it is invalid.
+std::optional<uint64_t> parse_lease_id(const json& message);
 
 }  // namespace rookdyke::wire
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -32,8 +32,8 @@
     {value::priority::kCritical, Priority::critical},
 }};
 
-// Reads the fields of a submission one by one, and remembers the last one that was missing or
-// invalid; such a field reads as the default of its type.
+// Reads the fields of a submission and records the last one that was missing or invalid. The value
+// of such a field is the default of its type.
 class SubmissionReader {
  public:
   explicit SubmissionReader(const json& submission) : submission_(submission) {}
@@ -41,7 +41,7 @@
   bool has(const char* name) const { return find_field(submission_, name) != nullptr; }
 
   std::string id() {
-    const auto id = job_id(submission_);
+    const auto id = parse_job_id(submission_);
     if (!id) invalid_field_ = field::job::kId;
     return id.value_or("");
   }
@@ -58,13 +58,13 @@
     return value && value->get<bool>();
   }
   uint32_t task_count() {
-    const uint64_t count = whole(submission_, field::job::kTaskCount).value_or(0);
+    const uint64_t count = find_unsigned(submission_, field::job::kTaskCount).value_or(0);
     if (count < 1 || count > kMaxTasks) invalid_field_ = field::job::kTaskCount;
     return static_cast<uint32_t>(std::min(count, kMaxTasks));
   }
   template <class Enum, size_t N>
   Enum one_of(const char* name, const std::array<NamedValue<Enum>, N>& values) {
-    const auto found = value_named(values, text_or(submission_, name));
+    const auto found = enum_from_name(values, text_or(submission_, name));
     if (!found) invalid_field_ = name;
     return found.value_or(Enum{});
   }
@@ -76,7 +76,7 @@
     return list ? list->get<std::vector<std::string>>() : std::vector<std::string>();
   }
 
-  // Empty: every field that was read is valid.
+  // Empty if all fields that were read are valid.
   const std::string& invalid_field() const { return invalid_field_; }
 
  private:
@@ -122,10 +122,10 @@
   if (reader.has(field::job::kZone)) job.zone = reader.name(field::job::kZone);
 }
 
-const char* status_name(const JobAnswer& answer) {
-  if (answer.status == ledger::JobStatus::done) return value::job_status::kDone;
-  if (answer.status == ledger::JobStatus::cancelled) return value::job_status::kCancelled;
-  return answer.running > 0 ? value::job_status::kRunning : value::job_status::kPending;
+const char* status_name(const JobAnswer& summary) {
+  if (summary.status == ledger::JobStatus::done) return value::job_status::kDone;
+  if (summary.status == ledger::JobStatus::cancelled) return value::job_status::kCancelled;
+  return summary.running > 0 ? value::job_status::kRunning : value::job_status::kPending;
 }
 
 json job_with_status(const std::string& id, const char* status) {
@@ -134,16 +134,16 @@
 
 }  // namespace
 
-bool valid_job_id(const std::string& id) {
+bool is_valid_job_id(const std::string& id) {
   if (id.compare(0, kJobIdPrefix.size(), kJobIdPrefix) != 0) return false;
   const std::string_view digits = std::string_view(id).substr(kJobIdPrefix.size());
   if (digits.size() < kMinJobIdDigits || digits.size() > kMaxJobIdDigits) return false;
   return std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-std::optional<std::string> job_id(const json& submission) {
+std::optional<std::string> parse_job_id(const json& submission) {
   std::string id = text_or(submission, field::job::kId);
-  if (!valid_job_id(id)) return std::nullopt;
+  if (!is_valid_job_id(id)) return std::nullopt;
   return id;
 }
 
@@ -158,23 +158,23 @@
   return job;
 }
 
-json job_answer(const std::string& id, const JobAnswer& answer, bool with_counts) {
-  json message = job_with_status(id, status_name(answer));
+json encode_job_status(const std::string& id, const JobAnswer& summary, bool with_counts) {
+  json message = job_with_status(id, status_name(summary));
   if (with_counts) {
-    message[field::job_status::kDoneTasks] = answer.done;
-    message[field::job_status::kRunningTasks] = answer.running;
+    message[field::job_status::kDoneTasks] = summary.done;
+    message[field::job_status::kRunningTasks] = summary.running;
   }
   return message;
 }
 
-json job_accepted(const std::string& id) {
+json encode_job_accepted(const std::string& id) {
   return job_with_status(id, value::job_status::kPending);
 }
 
-json job_cancelled(const std::string& id) {
+json encode_job_cancelled(const std::string& id) {
   return job_with_status(id, value::job_status::kCancelled);
 }
 
-json refusal(const std::string& reason) { return {{field::refusal::kReason, reason}}; }
+json encode_error(const std::string& reason) { return {{field::error_response::kReason, reason}}; }
 
 }  // namespace rookdyke::wire
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -1,6 +1,6 @@
 #pragma once
-// Messages between users and a controller: submissions and the answers about jobs. Called by
-// src/api/. Decoding never throws; a message is either valid as a whole or refused.
+// Messages between users and a controller: submissions, and responses about jobs. Used by src/api/.
+// Decoding never throws; a submission with any invalid field is refused.
 
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -14,28 +14,29 @@
 
 using nlohmann::json;
 
-// Why a message was refused.
+// The reason why a submission was refused.
 struct DecodeError {
-  // The protocol's name of a field that is missing or invalid (of several, the one checked last),
-  // or what else is wrong.
+  // The protocol's name of the missing or invalid field (if there are several, of the one that is
+  // checked last), or a description of another error.
   std::string field;
 };
 
-// Whether the text has the form of a job's id.
-bool valid_job_id(const std::string& id);
-// The id of a submission, if at least that much of it is valid.
-std::optional<std::string> job_id(const json& submission);
+// Whether the text has the format of a job id.
+bool is_valid_job_id(const std::string& id);
+// Returns the id of a submission if it is valid, regardless of the other fields.
+std::optional<std::string> parse_job_id(const json& submission);
 
-// The job that a submission asks for.
 using DecodedJob = std::variant<JobSpec, DecodeError>;
+// Decodes a submission.
 DecodedJob parse_job(const json& submission);
 
-// The answer about a job; with_counts: also how many of its tasks are done and running.
-json job_answer(const std::string& id, const JobAnswer& answer, bool with_counts);
-// The answer to a submission and to a cancellation that were carried out.
-json job_accepted(const std::string& id);
-json job_cancelled(const std::string& id);
-// The body of an answer that refuses a request.
-json refusal(const std::string& reason);
+// Encodes a response that reports the status of a job and, if `with_counts` is set, how many of its
+// tasks are done and running.
+json encode_job_status(const std::string& id, const JobAnswer& summary, bool with_counts);
+// Encode the responses to a submission and a cancellation that were successful.
+json encode_job_accepted(const std::string& id);
+json encode_job_cancelled(const std::string& id);
+// Encodes a response that refuses a request.
+json encode_error(const std::string& reason);
 
 }  // namespace rookdyke::wire
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -1,7 +1,7 @@
 #pragma once
-// The protocol with users, workers, the cloud and the state service: encoding and decoding of all
-// its messages, by whom they are exchanged with. Only src/wire/ knows the protocol's field names
-// (field_names.h has them all, and a glossary); its callers see the field's terms.
+// Encoding and decoding of the messages exchanged with users, workers, the cloud and the state
+// service, with one header for each of them. The field names of the protocol are used in src/wire/
+// only; they are defined, with a glossary, in field_names.h.
 
 #include "wire/cloud_messages.h"
 #include "wire/message_pack.h"
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-// Fencing tokens are revisions of the state service. One beyond any that can come to be would
-// depose every leader for ever, and leave no higher one.
+// Fencing tokens are revisions of the state service, which never reach this bound. A token above it
+// would depose every leader permanently, since no leader could ever obtain a higher one.
 constexpr uint64_t kMaxFencingToken = uint64_t{1} << 53;
-constexpr double kNoNotice = -1;
+constexpr double kNoReclaimNoticeS = -1;
 
 constexpr std::array<NamedValue<TaskPhase>, 5> kPhases{{
     {value::phase::kFetching, TaskPhase::fetching},
@@ -40,7 +40,7 @@
     {value::command::kForget, CommandKind::forget},
 }};
 
-// A task as the protocol names it: "<job>/<task>".
+// The name of a task in the protocol: "<job>/<task>".
 struct TaskName {
   std::string job;
   uint32_t task = 0;
@@ -63,8 +63,8 @@
 
 std::optional<TaskStatus> parse_task_status(const json& message) {
   auto name = parse_task_name(text_or(message, field::task::kTask));
-  const auto attempt = whole(message, field::task::kAttempt);
-  const auto phase = value_named(kPhases, text_or(message, field::task::kPhase));
+  const auto attempt = find_unsigned(message, field::task::kAttempt);
+  const auto phase = enum_from_name(kPhases, text_or(message, field::task::kPhase));
   if (!name || !attempt || !phase) return std::nullopt;
   TaskStatus status;
   status.job = std::move(name->job);
@@ -72,19 +72,20 @@
   status.attempt = *attempt;
   status.phase = *phase;
   if (status.phase == TaskPhase::exited) {
-    status.cause = value_named(kExitCauses, text_or(message, field::task::kExitCause))
+    status.cause = enum_from_name(kExitCauses, text_or(message, field::task::kExitCause))
                        .value_or(ExitCause::error);
     status.saved = flag_or(message, field::task::kCheckpointSaved);
   }
   return status;
 }
 
-// Which message of which session this is, and the highest token its worker has seen. False: one of
-// them is missing or invalid; any number in its place would prove what is not so.
+// Reads the epoch, the sequence number, and the highest fencing token that the worker has seen.
+// Returns false if one is missing or invalid: a default value would be mistaken for that of another
+// session, heartbeat or leader.
 bool read_session(const json& message, Heartbeat& heartbeat) {
-  const auto epoch = whole(message, field::heartbeat::kEpoch);
-  const auto sequence = whole(message, field::heartbeat::kSequence);
-  const auto fencing_token = whole(message, field::heartbeat::kFencingToken);
+  const auto epoch = find_unsigned(message, field::heartbeat::kEpoch);
+  const auto sequence = find_unsigned(message, field::heartbeat::kSequence);
+  const auto fencing_token = find_unsigned(message, field::heartbeat::kFencingToken);
   if (!epoch || *epoch < 1 || !sequence) return false;
   if (!fencing_token || *fencing_token > kMaxFencingToken) return false;
   heartbeat.epoch = *epoch;
@@ -106,7 +107,7 @@
 }
 
 json encode_command(const WorkerCommand& command) {
-  json message = {{field::command::kKind, name_of(kCommandKinds, command.verb)},
+  json message = {{field::command::kKind, enum_to_name(kCommandKinds, command.verb)},
                   {field::command::kTask, format_task_name(command)},
                   {field::command::kAttempt, command.attempt}};
   if (command.verb == CommandKind::stop) message[field::command::kGracePeriodS] = command.grace_s;
@@ -124,26 +125,26 @@
   heartbeat.type = text_or(message, field::heartbeat::kType);
   heartbeat.zone = text_or(message, field::heartbeat::kZone);
   heartbeat.spot = flag_or(message, field::heartbeat::kSpot);
-  heartbeat.notice_s = number_or(message, field::heartbeat::kReclaimNoticeS, kNoNotice);
+  heartbeat.notice_s = number_or(message, field::heartbeat::kReclaimNoticeS, kNoReclaimNoticeS);
   if (!read_session(message, heartbeat)) return std::nullopt;
   if (!read_tasks(message, heartbeat)) return std::nullopt;
   return heartbeat;
 }
 
-json heartbeat_reply(uint64_t fencing_token, const std::vector<WorkerCommand>& commands) {
+json encode_heartbeat_reply(uint64_t fencing_token, const std::vector<WorkerCommand>& commands) {
   json list = json::array();
   for (const WorkerCommand& command : commands) list.push_back(encode_command(command));
   return {{field::command::kFencingToken, fencing_token},
           {field::command::kCommands, std::move(list)}};
 }
 
-json direct_command(uint64_t fencing_token, const DirectCommand& command) {
-  json message = heartbeat_reply(fencing_token, command.commands);
+json encode_direct_command(uint64_t fencing_token, const DirectCommand& command) {
+  json message = encode_heartbeat_reply(fencing_token, command.commands);
   message[field::command::kEpoch] = command.epoch;
   return message;
 }
 
-json redirect(const std::string& leader_label) {
+json encode_redirect(const std::string& leader_label) {
   if (leader_label.empty()) return json::object();
   return {{field::redirect::kLeader, leader_label}};
 }
--- a/src/wire/worker_messages.h
+++ b/src/wire/worker_messages.h
@@ -1,6 +1,7 @@
 #pragma once
-// Messages between workers and a controller: heartbeats, the answers to them, and direct commands.
-// Called by src/daemon/. Decoding never throws; a heartbeat is either valid as a whole or refused.
+// Messages between workers and a controller: heartbeats, their replies, and direct commands. Used by
+// src/daemon/. Decoding never throws; a heartbeat is invalid as a whole if its machine name, its
+// epoch, sequence number or fencing token, or any of its tasks is invalid.
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -15,14 +16,16 @@
 
 using nlohmann::json;
 
-// A worker's heartbeat, or its answer to a direct command, which has the same form. Empty: invalid.
+// Decodes a worker's heartbeat or its response to a direct command, which has the same format.
+// Returns nullopt if the message is invalid.
 std::optional<Heartbeat> parse_heartbeat(const json& message);
 
-// The answer to a heartbeat that the leader accepted.
-json heartbeat_reply(uint64_t fencing_token, const std::vector<WorkerCommand>& commands);
-// Commands that the leader sends without waiting for a heartbeat.
-json direct_command(uint64_t fencing_token, const DirectCommand& command);
-// The answer to a heartbeat that reached a follower; an empty label: no leader is known.
-json redirect(const std::string& leader_label);
+// Encodes the leader's reply to a heartbeat.
+json encode_heartbeat_reply(uint64_t fencing_token, const std::vector<WorkerCommand>& commands);
+// Encodes commands that the leader sends without waiting for a heartbeat.
+json encode_direct_command(uint64_t fencing_token, const DirectCommand& command);
+// Encodes the reply to a heartbeat that reached a follower. The label is empty if no leader is
+// known.
+json encode_redirect(const std::string& leader_label);
 
 }  // namespace rookdyke::wire
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -104,7 +104,7 @@
   EXPECT_EQ(again.erase("rate_lowered"), 1u);
   EXPECT_EQ(again.erase("sizes_lowered"), 1u);
   EXPECT_EQ(again, old.at("view"));
-  const auto cancelled = mesh::decode_cancelled(old.at("cancelled").dump());
+  const auto cancelled = mesh::decode_cancellation_notice(old.at("cancelled").dump());
   ASSERT_TRUE(cancelled);
   EXPECT_EQ(mesh::encode(*cancelled), old.at("cancelled"));
 }
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -480,7 +480,7 @@
                      [&](const httplib::Request&, httplib::Response& r) { r.status = 404; });
   ASSERT_TRUE(server.start());
   {
-    mesh::Peer peer({"n1", {"127.0.0.1", server.port()}});
+    mesh::PeerClient peer({"n1", {"127.0.0.1", server.port()}});
     mesh::View ours;
     ours.label = "n0";
     ours.leader = "\xff";
@@ -531,7 +531,7 @@
                      });
   ASSERT_TRUE(server.start());
   {
-    mesh::Peer peer({"n1", {"127.0.0.1", server.port()}});
+    mesh::PeerClient peer({"n1", {"127.0.0.1", server.port()}});
     mesh::View ours;
     ours.label = ours.leader = "n0";
     ours.fencing_token = 4;
@@ -549,16 +549,16 @@
 }
 
 TEST(Mesh, CancellationsAreToldAndAcknowledged) {
-  std::optional<mesh::Cancelled> heard;
+  std::optional<mesh::CancellationNotice> heard;
   std::string answer = R"({"token":9})";
   net::Server server({"127.0.0.1", 0}, 4, 4, 65536,
                      [&](const httplib::Request& q, httplib::Response& r) {
-                       heard = mesh::decode_cancelled(q.body);
+                       heard = mesh::decode_cancellation_notice(q.body);
                        r.set_content(answer, "application/json");
                      });
   ASSERT_TRUE(server.start());
   {
-    mesh::Peer peer({"n1", {"127.0.0.1", server.port()}});
+    mesh::PeerClient peer({"n1", {"127.0.0.1", server.port()}});
     EXPECT_EQ(peer.send_cancellations({7, {{"wk-000001", {{"standing", 2}}, 12}}}), 9u);
     ASSERT_TRUE(heard);
     EXPECT_EQ(heard->fencing_token, 7u);
@@ -571,9 +571,9 @@
     }
   }
   server.halt();
-  EXPECT_FALSE(mesh::decode_cancelled(R"({"token":1,"rows":[["wk-000001"]]})"));
-  EXPECT_FALSE(mesh::decode_cancelled(R"({"token":1,"rows":[[1,{},2]]})"));
-  EXPECT_FALSE(mesh::decode_cancelled(R"({"rows":[]})"));
+  EXPECT_FALSE(mesh::decode_cancellation_notice(R"({"token":1,"rows":[["wk-000001"]]})"));
+  EXPECT_FALSE(mesh::decode_cancellation_notice(R"({"token":1,"rows":[[1,{},2]]})"));
+  EXPECT_FALSE(mesh::decode_cancellation_notice(R"({"rows":[]})"));
 }
 
 }  // namespace
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -32,8 +32,8 @@
     if (barrier_ok && on_barrier) on_barrier();
     return barrier_ok;
   }
-  void read(const std::function<void(const LedgerCache&)>& look) const override {
-    look(ledger_cache);
+  void read(const std::function<void(const LedgerCache&)>& callback) const override {
+    callback(ledger_cache);
   }
   std::vector<MachineType> machine_types() const override { return types; }
   std::string new_transaction_id() override { return "mark." + std::to_string(++marks); }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -190,7 +190,7 @@
 
 // A size read wrongly would have jobs answered 422 that can run: no list is better than that one.
 TEST(Wire, BadMachineTypesAreNoTypes) {
-  ASSERT_TRUE(parse_types(good_types()));
+  ASSERT_TRUE(parse_machine_types(good_types()));
   const std::vector<std::pair<const char*, json>> bad = {
       {"name", 3},         {"name", ""},      {"cpus", "96"},      {"cpus", -1},
       {"gpus", NAN},       {"mem_gb", 1e300}, {"mem_gb", nullptr}, {"hourly", "12"},
@@ -201,21 +201,21 @@
     j["breeds"].push_back(j["breeds"][0]);
     j["breeds"][1]["name"] = "g9";
     j["breeds"][1][k] = v;
-    EXPECT_FALSE(parse_types(j)) << k << " = " << v;
+    EXPECT_FALSE(parse_machine_types(j)) << k << " = " << v;
   }
   json twice = good_types();
   twice["breeds"].push_back(twice["breeds"][0]);
-  EXPECT_FALSE(parse_types(twice));
-  EXPECT_FALSE(parse_types({{"breeds", {3}}}));
-  EXPECT_FALSE(parse_types({{"breeds", "g8"}}));
-  EXPECT_FALSE(parse_types(json::array()));
+  EXPECT_FALSE(parse_machine_types(twice));
+  EXPECT_FALSE(parse_machine_types({{"breeds", {3}}}));
+  EXPECT_FALSE(parse_machine_types({{"breeds", "g8"}}));
+  EXPECT_FALSE(parse_machine_types(json::array()));
 }
 
 // A revision or a lease below 0 would be a huge one; a row without a version has no place in time.
 TEST(Wire, BadAnswersOfTheStateServiceAreNoAnswers) {
   for (const json& v : {json(-1), json("4"), json(1.5), json(true), json()}) {
     EXPECT_FALSE(parse_revision({{"ledger", v}})) << v;
-    EXPECT_FALSE(parse_lease({{"tether", v}})) << v;
+    EXPECT_FALSE(parse_lease_id({{"tether", v}})) << v;
     EXPECT_FALSE(parse_row({{"k", "a"}, {"v", 1}, {"stamp", v}})) << v;
     EXPECT_FALSE(parse_rows({{"rows", {{{"k", "a"}, {"stamp", v}}}}, {"ledger", 4}})) << v;
     EXPECT_FALSE(parse_events({{"log", {{{"write", "a"}, {"stamp", v}}}}, {"ledger", 4}})) << v;
@@ -225,14 +225,14 @@
     EXPECT_FALSE(parse_events(v)) << v;
     EXPECT_FALSE(parse_rows({{"rows", {v}}, {"ledger", 4}})) << v;
     EXPECT_FALSE(parse_events({{"log", {v}}, {"ledger", 4}})) << v;
-    EXPECT_TRUE(parse_failed(v).empty());
-    EXPECT_FALSE(parse_machines(v));
-    EXPECT_FALSE(parse_rented(v));
+    EXPECT_TRUE(parse_failed_keys(v).empty());
+    EXPECT_FALSE(parse_machine_page(v));
+    EXPECT_FALSE(parse_rented_machines(v));
   }
 }
 
 TEST(Wire, WritesOrders) {
-  const json a = heartbeat_reply(7, {{CommandKind::stop, "wk-000001", 2, 3, 10}});
+  const json a = encode_heartbeat_reply(7, {{CommandKind::stop, "wk-000001", 2, 3, 10}});
   EXPECT_EQ(a,
             json({{"warrant", 7},
                   {"orders",
@@ -243,7 +243,7 @@
   ledger::Transaction t;
   t.conditions = {{"a/b", 0}};
   t.changes = {{"a/b", false, {{"x", 1}}, 7}, {"c/d", true, {}, 0}};
-  EXPECT_EQ(transaction(t),
+  EXPECT_EQ(encode_transaction(t),
             json({{"if", {{{"k", "a/b"}, {"stamp", 0}}}},
                   {"then",
                    {{{"write", "a/b"}, {"v", {{"x", 1}}}, {"tether", 7}}, {{"delete", "c/d"}}}}}));
@@ -259,15 +259,16 @@
 TEST(Wire, BytesOfAnswersToUsers) {
   JobAnswer answer;
   answer.done = 3;
-  expect_bytes(job_answer("wk-000001", answer, false),
+  expect_bytes(encode_job_status("wk-000001", answer, false),
                R"({"id":"wk-000001","standing":"pending"})");
   answer.running = 2;
-  expect_bytes(job_answer("wk-000001", answer, true),
+  expect_bytes(encode_job_status("wk-000001", answer, true),
                R"({"id":"wk-000001","standing":"running","done":3,"running":2})");
   answer.status = ledger::JobStatus::done;
-  expect_bytes(job_answer("wk-000001", answer, false), R"({"id":"wk-000001","standing":"done"})");
+  expect_bytes(encode_job_status("wk-000001", answer, false),
+               R"({"id":"wk-000001","standing":"done"})");
   answer.status = ledger::JobStatus::cancelled;
-  expect_bytes(job_answer("wk-000001", answer, false),
+  expect_bytes(encode_job_status("wk-000001", answer, false),
                R"({"id":"wk-000001","standing":"aborted"})");
 }
 
@@ -275,15 +276,15 @@
   const std::vector<WorkerCommand> commands = {{CommandKind::start, "wk-000001", 0, 1, 5},
                                                {CommandKind::stop, "wk-000002", 7, 2, 10},
                                                {CommandKind::forget, "wk-000003", 99, 3, 0}};
-  expect_bytes(heartbeat_reply(41, commands),
+  expect_bytes(encode_heartbeat_reply(41, commands),
                R"({"warrant":41,"orders":[{"verb":"run","shift":"wk-000001/0","go":1},
                    {"verb":"stop","shift":"wk-000002/7","go":2,"leave_s":10.0},
                    {"verb":"clear","shift":"wk-000003/99","go":3}]})");
   DirectCommand command;
   command.epoch = 6;
-  expect_bytes(direct_command(41, command), R"({"warrant":41,"tenure":6,"orders":[]})");
-  expect_bytes(redirect("croft-2"), R"({"steward":"croft-2"})");
-  expect_bytes(redirect(""), "{}");
+  expect_bytes(encode_direct_command(41, command), R"({"warrant":41,"tenure":6,"orders":[]})");
+  expect_bytes(encode_redirect("croft-2"), R"({"steward":"croft-2"})");
+  expect_bytes(encode_redirect(""), "{}");
 }
 
 TEST(Wire, BytesOfCallsToTheCloud) {
@@ -293,20 +294,20 @@
   request.zone = "a";
   request.spot = true;
   request.count = 12;
-  expect_bytes(rent(request),
+  expect_bytes(encode_rental_request(request),
                R"({"hire":"r-17","breed":"g8","yard":"a","loaners":true,"how_many":12})");
-  expect_bytes(return_machines({"m-1", "m-2"}), R"({"crofts":["m-1","m-2"]})");
-  EXPECT_EQ(list_path("", 500), "/machines?most=500");
-  EXPECT_EQ(list_path("m 1", 500), "/machines?most=500&after=m%201");
+  expect_bytes(encode_return_request({"m-1", "m-2"}), R"({"crofts":["m-1","m-2"]})");
+  EXPECT_EQ(machine_list_path("", 500), "/machines?most=500");
+  EXPECT_EQ(machine_list_path("m 1", 500), "/machines?most=500&after=m%201");
 }
 
 TEST(Wire, BytesOfCallsToTheStateService) {
   ledger::Transaction t;
   t.conditions = {{"a/b", 0}};
   t.changes = {{"a/b", false, {{"x", 1.0}}, 7}, {"c/d", true, {}, 0}, {"e", false, 5, 0}};
-  expect_bytes(transaction(t), R"({"if":[{"k":"a/b","stamp":0}],
+  expect_bytes(encode_transaction(t), R"({"if":[{"k":"a/b","stamp":0}],
       "then":[{"write":"a/b","v":{"x":1.0},"tether":7},{"delete":"c/d"},{"write":"e","v":5}]})");
-  expect_bytes(lease(2.5), R"({"ttl_ms":2500})");
+  expect_bytes(encode_lease_request(2.5), R"({"ttl_ms":2500})");
   EXPECT_EQ(key_path("rd/j/wk 1"), "/keys/rd/j/wk%201");
   EXPECT_EQ(range_path("rd/", "", 100), "/keys?under=rd/&most=100");
   EXPECT_EQ(range_path("rd/", "rd/j/?", 100), "/keys?under=rd/&most=100&after=rd/j/%3F");
@@ -409,7 +410,7 @@
 }
 
 TEST(Wire, ReadsTheCloudsLists) {
-  const auto types = parse_types(good_types());
+  const auto types = parse_machine_types(good_types());
   ASSERT_TRUE(types);
   const MachineType& t = types->at(0);
   EXPECT_EQ(t.name, "g8");
@@ -423,7 +424,7 @@
   EXPECT_DOUBLE_EQ(t.boot_s, 45);
   EXPECT_EQ(t.zones, (std::vector<std::string>{"a", "b"}));
   const json least = {{"name", "x"}, {"cpus", 1}, {"gpus", 0}, {"mem_gb", 1}, {"yards", {"a"}}};
-  const auto defaults = parse_types({{"breeds", {least}}});
+  const auto defaults = parse_machine_types({{"breeds", {least}}});
   ASSERT_TRUE(defaults);
   EXPECT_DOUBLE_EQ(defaults->at(0).fetch_gb_per_s, 1);
   EXPECT_DOUBLE_EQ(defaults->at(0).boot_s, 60);
@@ -439,7 +440,7 @@
                          {{"id", 3}},
                          {{"id", "m-4"}, {"standing", "unheard_of"}}}},
                        {"truncated", true}};
-  const auto page = parse_machines(listed);
+  const auto page = parse_machine_page(listed);
   ASSERT_TRUE(page);
   EXPECT_TRUE(page->more);
   const std::vector<ListedMachine>& machines = page->machines;
@@ -452,14 +453,15 @@
   EXPECT_EQ(machines.at(1).zone, "a");
   EXPECT_TRUE(machines.at(1).spot);
   EXPECT_EQ(machines.at(2).state, ListedMachine::State::booting);
-  EXPECT_EQ(parse_rented({{"crofts", {"m-1", 2, "", "m-3"}}}),
+  EXPECT_EQ(parse_rented_machines({{"crofts", {"m-1", 2, "", "m-3"}}}),
             (std::vector<std::string>{"m-1", "m-3"}));
 }
 
 TEST(Wire, ReadsAnswersOfTheStateService) {
   EXPECT_EQ(parse_revision({{"ledger", 431}}), 431u);
-  EXPECT_EQ(parse_lease({{"tether", 7}}), 7u);
-  EXPECT_EQ(parse_failed({{"failed", {"a/b", 3, "c"}}}), (std::vector<std::string>{"a/b", "c"}));
+  EXPECT_EQ(parse_lease_id({{"tether", 7}}), 7u);
+  EXPECT_EQ(parse_failed_keys({{"failed", {"a/b", 3, "c"}}}),
+            (std::vector<std::string>{"a/b", "c"}));
   const auto rows = parse_rows({{"rows", {{{"k", "a"}, {"v", {{"x", 1}}}, {"stamp", 4}}}},
                                 {"truncated", true},
                                 {"ledger", 9}});
