--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -9,13 +9,15 @@
 //   lot       job class                   tally     sequence number of a heartbeat
 //   kit       container image             warrant   fencing token
 //   breed     machine type                steward   leader
-//   yard      zone                        recall_s  reclaim notice: time until a machine is
-//   reclaimed croft     machine                     orders    commands to a worker loaners   spot
-//   machines               leave_s   grace period of a stop command shift     task hire      id of
-//   a rental request go        attempt                     stamp     version of a row standing
-//   status, phase or state      ledger    revision of the state service rank      priority tether
-//   lease ensemble  gang                        marker_s  checkpoint interval scatter   spread over
-//   zones           stow_s    checkpoint duration
+//   yard      zone                        recall_s  time left of a spot machine's reclaim notice
+//   croft     machine                     orders    commands to a worker
+//   loaners   spot machines               leave_s   grace period of a stop command
+//   shift     task                        hire      id of a rental request
+//   go        attempt                     stamp     version of a row
+//   standing  status, phase or state      ledger    revision of the state service
+//   rank      priority                    tether    lease
+//   ensemble  gang                        marker_s  checkpoint interval
+//   scatter   spread over zones           stow_s    checkpoint duration
 
 namespace rookdyke::wire {
 
--- a/src/wire/state_messages.h
+++ b/src/wire/state_messages.h
@@ -43,7 +43,8 @@
 
 // Encodes a request to execute a transaction.
 json encode_transaction(const ledger::Transaction& transaction);
-// Decodes the revision at which a transaction was executed; nullopt if it is invalid.
+// Decodes the revision of the state service in a response, which for an executed transaction is the
+// revision that it created. Returns nullopt if it is invalid.
 std::optional<uint64_t> parse_revision(const json& message);
 // Decodes the keys whose conditions failed.
 std::vector<std::string> parse_failed_keys(const json& message);
--- a/src/wire/worker_messages.h
+++ b/src/wire/worker_messages.h
@@ -1,6 +1,6 @@
 #pragma once
-// Messages between workers and a controller: heartbeats, their replies, and direct commands. Used by
-// src/daemon/. Decoding never throws; a heartbeat is invalid as a whole if its machine name, its
+// Messages between workers and a controller: heartbeats, their replies, and direct commands. Used
+// by src/daemon/. Decoding never throws; a heartbeat is invalid as a whole if its machine name, its
 // epoch, sequence number or fencing token, or any of its tasks is invalid.
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 // Returns nullopt if the message is invalid.
 std::optional<Heartbeat> parse_heartbeat(const json& message);
 
-// Encodes the leader's reply to a heartbeat.
+// Encodes the leader's reply to a heartbeat that it accepted.
 json encode_heartbeat_reply(uint64_t fencing_token, const std::vector<WorkerCommand>& commands);
 // Encodes commands that the leader sends without waiting for a heartbeat.
 json encode_direct_command(uint64_t fencing_token, const DirectCommand& command);
