--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -14,8 +14,9 @@
 
 using nlohmann::json;
 
-// Decodes the machine types that can be rented. Returns nullopt if any of them is invalid: jobs are
-// admitted by this list, so jobs that could run would be refused if one type were left out.
+// Decodes the machine types that can be rented. Returns nullopt if there are none or any is
+// invalid: jobs are admitted by this list, so jobs that could run would be refused if one were left
+// out.
 std::optional<std::vector<MachineType>> parse_machine_types(const json& message);
 
 // Encodes a request to rent machines.
