--- a/src/daemon/heartbeat_endpoint.cpp
+++ b/src/daemon/heartbeat_endpoint.cpp
@@ -42,7 +42,7 @@
   if (!leader_reply) {
     spdlog::debug("heartbeat of {} redirected to {}", heartbeat.machine,
                   leader.empty() ? "any controller" : leader);
-    return {http_status::kMisdirected, wire::redirect(leader)};
+    return {http_status::kMisdirected, wire::encode_redirect(leader)};
   }
   shared_.wakeups().transactions.notify_one();
   if (leader_reply->needs_round) shared_.wakeups().scheduling.notify_one();
@@ -77,7 +77,7 @@
     state.step_down(Role::follower, "a worker has seen a higher fencing token");
     return std::nullopt;
   }
-  Reply reply{http_status::kOk, wire::heartbeat_reply(state.fencing_token(), out.commands)};
+  Reply reply{http_status::kOk, wire::encode_heartbeat_reply(state.fencing_token(), out.commands)};
   return LeaderReply{std::move(reply), scheduler->needs_round()};
 }
 
--- a/src/daemon/mesh_endpoint.cpp
+++ b/src/daemon/mesh_endpoint.cpp
@@ -15,7 +15,7 @@
 void MeshEndpoint::serve(const httplib::Request& request, httplib::Response& response) {
   const bool post = request.method == "POST";
   if (post && request.target == mesh::kCancelledPath) {
-    const auto cancelled = mesh::decode_cancelled(request.body);
+    const auto cancelled = mesh::decode_cancellation_notice(request.body);
     const nlohmann::json reply = {{"token", cancelled ? apply_cancellations(*cancelled) : 0}};
     response.set_content(reply.dump(), kContentType);
   } else if (post && request.target == mesh::kViewPath) {
@@ -29,7 +29,7 @@
 // Applies rows of cancelled jobs. Returns the fencing token of the term in which their tasks will
 // be stopped, or 0 if this controller has no confirmed lease as leader or a row is not that of a
 // cancelled job.
-uint64_t MeshEndpoint::apply_cancellations(const mesh::Cancelled& cancelled) {
+uint64_t MeshEndpoint::apply_cancellations(const mesh::CancellationNotice& cancelled) {
   auto state = shared_.lock();
   if (state->leads() && cancelled.fencing_token > state->fencing_token())
     state->step_down(Role::follower, "a peer controller knows a newer leader");
@@ -37,7 +37,7 @@
   if (!state->leads() || !scheduler || scheduler->has_lost_leadership() ||
       !state->lease_confirmed(steady_now()))
     return 0;
-  for (const mesh::Cancelled::Row& message_row : cancelled.rows) {
+  for (const mesh::CancellationNotice::Row& message_row : cancelled.rows) {
     const auto row = ledger::decode_job(message_row.job, message_row.value);
     if (!row || row->status != ledger::JobStatus::cancelled) return 0;
     state->apply({ledger::job_key(message_row.job), message_row.value, message_row.version, false});
