--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -18,14 +18,14 @@
 constexpr std::chrono::seconds kConnectTimeout(1);
 constexpr std::chrono::seconds kReadTimeout(3);
 constexpr std::chrono::seconds kWriteTimeout(1);
-constexpr double kMaxWaitS = 3.0;         // for the rate limit
-constexpr double kRefusalPenaltyS = 0.5;  // all requests wait so long after a 429
+constexpr double kMaxWaitS = 3.0;           // maximum wait for the rate limit
+constexpr double kRateLimitedPauseS = 0.5;  // pause of all requests after a 429
 constexpr int kListPageSize = 500;
 
 }  // namespace
 
-Client::Client(const Endpoint& at, net::RateLimiter& limiter)
-    : http_(at.host, at.port), limiter_(limiter) {
+Client::Client(const Endpoint& endpoint, net::RateLimiter& limiter)
+    : http_(endpoint.host, endpoint.port), limiter_(limiter) {
   http_.set_keep_alive(true);
   http_.set_tcp_nodelay(true);
   http_.set_url_encode(false);
@@ -34,51 +34,53 @@
   http_.set_write_timeout(kWriteTimeout);
 }
 
-Client::Answer Client::call(Method method, const std::string& path, const json& body,
-                            const MaySend& may_send) {
-  Answer answer;
-  if (!limiter_.take(1, kMaxWaitS) || (may_send && !may_send())) return answer;
+Client::Response Client::call(Method method, const std::string& path, const json& body,
+                              const MaySend& may_send) {
+  Response response;
+  if (!limiter_.take(1, kMaxWaitS) || (may_send && !may_send())) return response;
   const httplib::Result result =
       method == Method::post ? http_.Post(path, wire::pack(body), std::string(wire::kContentType))
                              : http_.Get(path);
   if (!result) {
-    // Without a connection nothing was sent; after any other error it may have been executed.
-    answer.may_have_executed = result.error() != httplib::Error::Connection &&
-                               result.error() != httplib::Error::ConnectionTimeout;
-    spdlog::debug("cloud: {}: {}", path, httplib::to_string(result.error()));
-    return answer;
+    // If connecting failed, nothing was sent. After any other error the request may have been
+    // executed.
+    response.may_have_executed = result.error() != httplib::Error::Connection &&
+                                 result.error() != httplib::Error::ConnectionTimeout;
+    spdlog::debug("cloud: {} failed: {}", path, httplib::to_string(result.error()));
+    return response;
   }
-  answer.status = result->status;
-  answer.may_have_executed = true;
+  response.status = result->status;
+  response.may_have_executed = true;
   if (!result->body.empty())
-    if (auto message = wire::unpack(result->body)) answer.body = std::move(*message);
-  if (answer.status == http_status::kTooManyRequests) limiter_.penalty(kRefusalPenaltyS);
-  if (answer.status != http_status::kOk) spdlog::debug("cloud: {}: {}", path, answer.status);
-  return answer;
+    if (auto message = wire::unpack(result->body)) response.body = std::move(*message);
+  if (response.status == http_status::kTooManyRequests) limiter_.pause_for(kRateLimitedPauseS);
+  if (response.status != http_status::kOk)
+    spdlog::debug("cloud: {} returned status {}", path, response.status);
+  return response;
 }
 
-std::optional<std::vector<MachineType>> Client::types() {
-  const Answer answer = call(Method::get, wire::kMachineTypesPath);
-  if (answer.status != http_status::kOk) return std::nullopt;
-  return wire::parse_machine_types(answer.body);
+std::optional<std::vector<MachineType>> Client::machine_types() {
+  const Response response = call(Method::get, wire::kMachineTypesPath);
+  if (response.status != http_status::kOk) return std::nullopt;
+  return wire::parse_machine_types(response.body);
 }
 
 Client::RentalResult Client::rent(const RentalRequest& request, const MaySend& may_send) {
   RentalResult result;
-  const Answer answer =
+  const Response response =
       call(Method::post, wire::kMachinesPath, wire::encode_rental_request(request), may_send);
-  if (answer.status == http_status::kOk) {
-    if (auto names = wire::parse_rented_machines(answer.body)) {
+  if (response.status == http_status::kOk) {
+    if (auto names = wire::parse_rented_machines(response.body)) {
       result.outcome = CloudOutcome::done;
       result.machines = std::move(*names);
     }
-  } else if (answer.status == http_status::kUnavailable) {
+  } else if (response.status == http_status::kUnavailable) {
     result.outcome =
-        wire::is_no_capacity(answer.body) ? CloudOutcome::no_capacity : CloudOutcome::refused;
-  } else if (answer.status == http_status::kBadRequest) {
-    spdlog::error("cloud: rental request {} was malformed", request.name);
+        wire::is_no_capacity(response.body) ? CloudOutcome::no_capacity : CloudOutcome::refused;
+  } else if (response.status == http_status::kBadRequest) {
+    spdlog::error("cloud: rental request {} was rejected as malformed (400)", request.name);
     result.outcome = CloudOutcome::no_capacity;
-  } else if (answer.status != http_status::kNone || !answer.may_have_executed) {
+  } else if (response.status != http_status::kNone || !response.may_have_executed) {
     result.outcome = CloudOutcome::refused;
   }
   return result;
@@ -86,24 +88,24 @@
 
 CloudOutcome Client::return_machines(const std::vector<std::string>& names,
                                      const MaySend& may_send) {
-  const Answer answer =
+  const Response response =
       call(Method::post, wire::kReturnPath, wire::encode_return_request(names), may_send);
-  if (answer.status == http_status::kOk) return CloudOutcome::done;
-  const bool not_executed = answer.status != http_status::kNone || !answer.may_have_executed;
+  if (response.status == http_status::kOk) return CloudOutcome::done;
+  const bool not_executed = response.status != http_status::kNone || !response.may_have_executed;
   return not_executed ? CloudOutcome::refused : CloudOutcome::unknown;
 }
 
-std::optional<std::vector<ListedMachine>> Client::list() {
+std::optional<std::vector<ListedMachine>> Client::list_machines() {
   std::vector<ListedMachine> all;
   std::string after;
   while (true) {
-    const Answer answer = call(Method::get, wire::machine_list_path(after, kListPageSize));
-    if (answer.status != http_status::kOk) return std::nullopt;
-    auto page = wire::parse_machine_page(answer.body);
+    const Response response = call(Method::get, wire::machine_list_path(after, kListPageSize));
+    if (response.status != http_status::kOk) return std::nullopt;
+    auto page = wire::parse_machine_page(response.body);
     if (!page) return std::nullopt;
     std::vector<ListedMachine>& machines = page->machines;
     if (machines.empty()) return all;
-    // A page that does not go on after the one before would be asked for without end.
+    // A page that does not advance past the previous one would make this loop endless.
     if (machines.back().name <= after) return std::nullopt;
     after = machines.back().name;
     all.insert(all.end(), std::make_move_iterator(machines.begin()),
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -1,7 +1,7 @@
 #pragma once
-// The cloud's client: machine types, rentals, returns, and the list of rented machines. Owned by
-// the leader's cloud thread; not thread-safe. Every call has timeouts for connecting, reading and
-// writing, and waits for this replica's share of the cloud's rate limit. No function throws.
+// Client of the cloud: machine types, rentals, returns, and the list of rented machines. Owned by
+// the leader's cloud thread. Every call has connect, read and write timeouts and is limited to this
+// controller's share of the cloud's rate limit. No function throws.
 
 #include <httplib.h>
 
@@ -18,36 +18,37 @@
 
 namespace rookdyke::cloud {
 
+// Not thread-safe.
 class Client {
  public:
   // The limiter must outlive this object.
-  Client(const Endpoint& at, net::RateLimiter& limiter);
+  Client(const Endpoint& endpoint, net::RateLimiter& limiter);
 
-  // The machine types that can be rented. Empty: it failed.
-  std::optional<std::vector<MachineType>> types();
+  // Returns the machine types that can be rented, or empty if the request failed.
+  std::optional<std::vector<MachineType>> machine_types();
 
   struct RentalResult {
     CloudOutcome outcome = CloudOutcome::unknown;
-    std::vector<std::string> machines;  // names of those rented
+    std::vector<std::string> machines;  // names of the rented machines
   };
-  // Asked right before a request is sent, after any wait for the rate limit. False: it is not sent,
-  // since the leader that decided it has lost its lease.
+  // Called immediately before a request is sent, after any wait for the rate limit. Returns false,
+  // so that the request is not sent, if the leader that decided on it has lost its lease.
   using MaySend = std::function<bool()>;
   RentalResult rent(const RentalRequest& request, const MaySend& may_send);
   CloudOutcome return_machines(const std::vector<std::string>& names, const MaySend& may_send);
 
-  // All rented machines. Empty: a page of the list failed.
-  std::optional<std::vector<ListedMachine>> list();
+  // Returns all rented machines, or empty if a page of the list could not be read.
+  std::optional<std::vector<ListedMachine>> list_machines();
 
  private:
   enum class Method { get, post };
-  struct Answer {
-    int status = 0;                  // HTTP; 0: none
-    bool may_have_executed = false;  // the request reached the cloud, or may have
+  struct Response {
+    int status = 0;                  // HTTP status; 0 if there was no response
+    bool may_have_executed = false;  // the request may have reached the cloud
     nlohmann::json body;
   };
-  Answer call(Method method, const std::string& path, const nlohmann::json& body = nullptr,
-              const MaySend& may_send = nullptr);
+  Response call(Method method, const std::string& path, const nlohmann::json& body = nullptr,
+                const MaySend& may_send = nullptr);
 
   httplib::Client http_;
   net::RateLimiter& limiter_;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -4,16 +4,16 @@
 
 namespace {
 
-// Of one sibling: one, and further ones after it restarted or timed out, until the end of the
-// earlier ones is noticed.
+// A peer controller uses one connection. After it restarts or a request times out it opens another
+// one, while the earlier ones remain open until their closing is detected.
 constexpr size_t kConnectionsPerSibling = 3;
 constexpr size_t kSpareSiblingConnections = 4;
-// What this process opens itself: listening sockets, epoll, and clients of the state service, the
-// cloud and the workers; some thirty.
-constexpr size_t kOwnSockets = 40;
-// Of all sockets, the part left for connections that the kernel has accepted and the server has
-// not yet, while many arrive at once.
-constexpr size_t kBacklogFraction = 32;
+// File descriptors that this process opens itself, about thirty: listening sockets, epoll, and the
+// clients of the state service, the cloud and the workers.
+constexpr size_t kInternalSockets = 40;
+// One in this many sockets is reserved for connections that the kernel has accepted but the server
+// has not, which accumulate when many arrive at the same time.
+constexpr size_t kBacklogDivisor = 32;
 
 }  // namespace
 
@@ -23,8 +23,8 @@
 
 size_t connections_from_outside(const Config& config) {
   const size_t to_siblings = config.siblings.size();
-  const size_t reserved = kOwnSockets + to_siblings + connections_from_siblings(config) +
-                          config.max_sockets / kBacklogFraction;
+  const size_t reserved = kInternalSockets + to_siblings + connections_from_siblings(config) +
+                          config.max_sockets / kBacklogDivisor;
   if (config.max_sockets <= 2 * reserved) return config.max_sockets / 2;
   return config.max_sockets - reserved;
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,7 +1,7 @@
 #pragma once
 // The settings of one controller: the platform's settings file (JSON) and the operators' tuning
-// (INI), read and checked once at the start by main(). Everything else gets a finished Config,
-// which does not change.
+// (INI). main() reads and validates them once at startup; all other code gets a Config that does
+// not change.
 
 #include <cstddef>
 #include <optional>
@@ -18,54 +18,56 @@
   int port = 0;
 };
 
-// Another replica of this deployment.
+// A peer controller: another controller of this deployment.
 struct Sibling {
   std::string label;
-  Endpoint mesh;  // where it answers its siblings
+  Endpoint mesh;  // where it accepts connections from peer controllers
 };
 
 struct Config {
   Settings scheduler;
 
   Endpoint bind;   // where users, workers and health checks connect
-  Endpoint mesh;   // where siblings connect
+  Endpoint mesh;   // where peer controllers connect
   Endpoint cloud;  // the cloud's API
   Endpoint state;  // the state service
   std::vector<Sibling> siblings;
-  int nodes = 1;  // replicas of the deployment, this one too
+  int nodes = 1;  // controllers of the deployment, including this one
 
-  // Limits that all replicas share.
-  double state_rps = 50;  // requests a second to the state service
-  double write_rps = 20;  // changes a second in the state service
-  double cloud_rps = 2;   // requests a second to the cloud
+  // Limits of the whole deployment, shared by all controllers.
+  double state_rps = 50;  // requests per second to the state service
+  double write_rps = 20;  // changes per second in the state service
+  double cloud_rps = 2;   // requests per second to the cloud
 
-  // What this process may use.
+  // Resources available to this process.
   size_t max_sockets = 1000;
   double cores = 1;
   double memory_mb = 0;
 
   // [node] of the INI file
-  double lease_ttl_s = 2.5;       // of the lease that the leader key is attached to
-  double leader_watch_s = 0.2;    // between a leader's reads of the ledger's changes
-  double follower_watch_s = 0.5;  // between a follower's
+  double lease_ttl_s = 2.5;       // lifetime of the lease that the leader key is attached to
+  double leader_watch_s = 0.2;    // interval at which a leader reads changes of the ledger
+  double follower_watch_s = 0.5;  // the same for a follower
 };
 
-// The settings cannot be used: what() is one line for the operator, and the program ends with exit
-// code 2.
+// Thrown if the settings are invalid. what() is a one-line message for the operator; the program
+// ends with exit code 2.
 struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // All functions that read settings throw ConfigError.
+
+// Reads the settings file and, if a path is given, the INI file.
 Config read_config(const std::string& json_path, const std::optional<std::string>& ini_path);
-// The settings file's text alone.
+// Parses the text of a settings file.
 Config parse_config(const std::string& json_text);
-// Applies the INI file over the defaults.
+// Sets the values in `config` that the INI file contains; others keep their values.
 void apply_ini(Config& config, const std::string& path);
 
-// How many connections may be open at once from users, workers and health checks, and from
-// siblings. The rest of max_sockets is for what this process opens itself, and for connections that
-// wait to be accepted.
+// The maximum numbers of simultaneous connections from users, workers and health checks, and from
+// peer controllers. The rest of `max_sockets` is reserved for sockets that this process opens
+// itself and for connections that the kernel has accepted but the server has not.
 size_t connections_from_outside(const Config& config);
 size_t connections_from_siblings(const Config& config);
 
--- a/src/config/ini_file.cpp
+++ b/src/config/ini_file.cpp
@@ -1,4 +1,4 @@
-// The operators' own settings (INI).
+// Reads the operators' settings (INI).
 
 #include <ini.h>
 
@@ -44,18 +44,19 @@
     {"node", {"follow_s", &Config::follower_watch_s, {0.02, 10}}},
 }};
 
-// The number that the whole text stands for, if the setting takes it.
+// Returns the number that the text represents, or empty if the text is not a number or the setting
+// does not accept it.
 std::optional<double> parse_value(const std::string& text, const NumberSetting& setting) {
   double value = 0;
   const char* end = text.data() + text.size();
   const auto [parsed_to, error] = std::from_chars(text.data(), end, value);
   if (error != std::errc() || parsed_to != end) return std::nullopt;
   if (!std::isfinite(value) || !setting.range.contains(value)) return std::nullopt;
-  if (is_whole(setting.target) && value != std::floor(value)) return std::nullopt;
+  if (is_integer(setting.target) && value != std::floor(value)) return std::nullopt;
   return value;
 }
 
-// Sets what the lines of the file say, up to the first that is wrong.
+// Applies the lines of an INI file until the first invalid one.
 class IniReader {
  public:
   explicit IniReader(Config& config) : config_(config) {}
@@ -75,7 +76,7 @@
       error_ = "bad value for " + key + " in [" + section + "]";
   }
 
-  // Empty: all lines were right.
+  // Describes the first invalid line; empty if there was none.
   const std::string& error() const { return error_; }
 
  private:
@@ -93,7 +94,8 @@
   std::string error_;
 };
 
-// What the INI library calls for every line; 1 tells it that the line was well formed.
+// Callback of the INI library for each setting. Returns 1, which reports to the library that the
+// line was well-formed; invalid settings are reported by IniReader::error().
 int on_line(void* reader, const char* section, const char* key, const char* value) {
   static_cast<IniReader*>(reader)->read_line(section, key, value);
   return 1;
--- a/src/config/number_settings.h
+++ b/src/config/number_settings.h
@@ -1,6 +1,6 @@
 #pragma once
-// Settings that are numbers: their names in the files, what they set, and their limits. The tables
-// in settings_file.cpp and ini_file.cpp are made of these; nothing else knows a setting's name.
+// Descriptions of numeric settings: the key in the file, the member that is set, and the range of
+// valid values. settings_file.cpp and ini_file.cpp have tables of them.
 
 #include <cstddef>
 #include <type_traits>
@@ -11,7 +11,7 @@
 
 namespace rookdyke {
 
-// Both ends belong to it.
+// A closed interval.
 struct Range {
   double min = 0;
   double max = 0;
@@ -19,7 +19,7 @@
   bool contains(double value) const { return value >= min && value <= max; }
 };
 
-// The member that a setting sets.
+// The member that a setting is stored in.
 using NumberTarget =
     std::variant<double Config::*, int Config::*, size_t Config::*, double Settings::*,
                  size_t Settings::*, double Tuning::*, int Tuning::*>;
@@ -30,13 +30,13 @@
   Range range;
 };
 
-// Whether the target holds whole numbers only.
-inline bool is_whole(const NumberTarget& target) {
+// Whether the target has an integer type.
+inline bool is_integer(const NumberTarget& target) {
   return std::visit(
       []<class Part, class Number>(Number Part::*) { return std::is_integral_v<Number>; }, target);
 }
 
-// Sets the target; one that holds whole numbers only gets the value's whole part.
+// Visitor of NumberTarget that stores a value in the target. Integer targets truncate the value.
 class NumberAssignment {
  public:
   NumberAssignment(Config& config, double value) : config_(config), value_(value) {}
--- a/src/config/settings_file.cpp
+++ b/src/config/settings_file.cpp
@@ -1,4 +1,4 @@
-// The platform's settings file (JSON).
+// Reads the platform's settings file (JSON).
 
 #include <array>
 #include <fstream>
@@ -16,17 +16,17 @@
 namespace {
 
 constexpr double kBytesPerKb = 1024;
-constexpr Range kValueKb{0.25, 1e6};
-constexpr Range kTransactionChanges{1, 1e6};
-constexpr Range kWriteRate{0.5, 1e9};  // changes a second
-constexpr Range kQuota{0, 1e9};
-constexpr Range kObjectiveS{0, 1e9};
+constexpr Range kValueKbRange{0.25, 1e6};
+constexpr Range kTransactionChangesRange{1, 1e6};
+constexpr Range kWriteRateRange{0.5, 1e9};  // changes per second
+constexpr Range kQuotaRange{0, 1e9};
+constexpr Range kObjectiveSecondsRange{0, 1e9};
 
-constexpr std::array<NumberSetting, 1> kDeployment{{
+constexpr std::array<NumberSetting, 1> kDeploymentSettings{{
     {"nodes", &Config::nodes, {1, 1000}},
 }};
 
-constexpr std::array<NumberSetting, 5> kWorkers{{
+constexpr std::array<NumberSetting, 5> kWorkerSettings{{
     {"report_s", &Settings::heartbeat_interval_s, {0.1, 3600}},
     {"lease_s", &Settings::lease_s, {0.5, 86400}},
     {"gang_wait_s", &Settings::gang_wait_s, {0, 86400}},
@@ -34,17 +34,17 @@
     {"cancel_s", &Settings::cancel_s, {0, 86400}},
 }};
 
-constexpr std::array<NumberSetting, 2> kStateRates{{
+constexpr std::array<NumberSetting, 2> kStateRateSettings{{
     {"rps", &Config::state_rps, {1, 1e9}},
-    {"write_rps", &Config::write_rps, kWriteRate},
+    {"write_rps", &Config::write_rps, kWriteRateRange},
 }};
 
-constexpr std::array<NumberSetting, 2> kCloud{{
+constexpr std::array<NumberSetting, 2> kCloudSettings{{
     {"rps", &Config::cloud_rps, {0.1, 1e9}},
     {"list_lag_s", &Settings::list_lag_s, {0, 3600}},
 }};
 
-constexpr std::array<NumberSetting, 3> kResources{{
+constexpr std::array<NumberSetting, 3> kResourceSettings{{
     {"cores", &Config::cores, {0.001, 1e6}},
     {"memory_mb", &Config::memory_mb, {1, 1e9}},
     {"max_sockets", &Config::max_sockets, {16, 1e9}},
@@ -58,11 +58,11 @@
 }
 
 void read_addresses(const SettingsObject& file, Config& config) {
-  config.scheduler.label = file.text("label");
+  config.scheduler.label = file.string("label");
   config.bind = file.endpoint("bind");
   config.mesh = file.endpoint("mesh_addr");
   for (const SettingsObject& sibling : file.objects("siblings"))
-    config.siblings.push_back({sibling.text("label"), sibling.endpoint("endpoint")});
+    config.siblings.push_back({sibling.string("label"), sibling.endpoint("endpoint")});
   const SettingsObject external = file.object("external");
   config.cloud = external.endpoint("cloud");
   config.state = external.endpoint("state");
@@ -70,64 +70,65 @@
 
 TeamQuota read_team(const SettingsObject& team) {
   TeamQuota quota;
-  quota.name = team.text("name");
-  quota.cpus = team.number("cpus", kQuota);
-  quota.cpus_max = team.number("cpus_max", kQuota);
-  quota.gpus = team.number("gpus", kQuota);
-  quota.gpus_max = team.number("gpus_max", kQuota);
+  quota.name = team.string("name");
+  quota.cpus = team.number("cpus", kQuotaRange);
+  quota.cpus_max = team.number("cpus_max", kQuotaRange);
+  quota.gpus = team.number("gpus", kQuotaRange);
+  quota.gpus_max = team.number("gpus_max", kQuotaRange);
   return quota;
 }
 
 void read_objectives(const SettingsObject& params, std::vector<Objective>& objectives) {
   if (!params.has("objectives")) return;
   for (const SettingsObject& entry : params.objects("objectives")) {
-    const std::string kind = entry.text("kind");
-    // The platform may come to have other kinds; they have no influence on the order of work.
+    const std::string kind = entry.string("kind");
+    // The platform may add other kinds, which do not affect the order of work.
     if (kind != "wait" && kind != "finished") continue;
     Objective objective;
     objective.start = kind == "wait";
-    objective.job_class = entry.text("class");
-    objective.within_s = entry.number("within_s", kObjectiveS);
+    objective.job_class = entry.string("class");
+    objective.within_s = entry.number("within_s", kObjectiveSecondsRange);
     objectives.push_back(std::move(objective));
   }
 }
 
 size_t read_value_bytes(const SettingsObject& state) {
-  return static_cast<size_t>(state.number("value_kb", kValueKb) * kBytesPerKb);
+  return static_cast<size_t>(state.number("value_kb", kValueKbRange) * kBytesPerKb);
 }
 
 size_t read_transaction_changes(const SettingsObject& state) {
-  return static_cast<size_t>(state.number("txn_ops", kTransactionChanges));
+  return static_cast<size_t>(state.number("txn_ops", kTransactionChangesRange));
 }
 
-// The limits that the state service will have from some moment on, if the file announces any.
+// Returns the limits that the state service will have after lowering them at an unannounced time,
+// or empty if the file does not contain any.
 std::optional<StateLimits> read_next_limits(const SettingsObject& state) {
   const auto next = state.optional_object("next");
   if (!next) return std::nullopt;
   StateLimits limits;
   limits.value_bytes = read_value_bytes(*next);
   limits.txn_ops = read_transaction_changes(*next);
-  limits.write_rps = next->number("write_rps", kWriteRate);
+  limits.write_rps = next->number("write_rps", kWriteRateRange);
   return limits;
 }
 
 void read_state(const SettingsObject& state, Config& config) {
-  read_numbers(state, kStateRates, config);
+  read_numbers(state, kStateRateSettings, config);
   config.scheduler.value_bytes = read_value_bytes(state);
   config.scheduler.txn_ops = read_transaction_changes(state);
   config.scheduler.next_limits = read_next_limits(state);
 }
 
 void read_params(const SettingsObject& params, Config& config) {
-  read_numbers(params, kDeployment, config);
-  config.scheduler.zones = params.texts("zones");
+  read_numbers(params, kDeploymentSettings, config);
+  config.scheduler.zones = params.strings("zones");
   for (const SettingsObject& team : params.objects("teams"))
     config.scheduler.teams.push_back(read_team(team));
   read_objectives(params, config.scheduler.objectives);
-  read_numbers(params.object("workers"), kWorkers, config);
+  read_numbers(params.object("workers"), kWorkerSettings, config);
   read_state(params.object("state"), config);
-  read_numbers(params.object("cloud"), kCloud, config);
-  read_numbers(params.object("resources"), kResources, config);
+  read_numbers(params.object("cloud"), kCloudSettings, config);
+  read_numbers(params.object("resources"), kResourceSettings, config);
 }
 
 }  // namespace
--- a/src/config/settings_object.cpp
+++ b/src/config/settings_object.cpp
@@ -24,7 +24,7 @@
   return value_.is_object() && value_.contains(key);
 }
 
-std::string SettingsObject::text(const char* key) const {
+std::string SettingsObject::string(const char* key) const {
   const json& value = require(key);
   if (!value.is_string() || value.get_ref<const std::string&>().empty())
     reject(key, "must be a text");
@@ -40,7 +40,7 @@
 }
 
 Endpoint SettingsObject::endpoint(const char* key) const {
-  const std::string address = text(key);
+  const std::string address = string(key);
   const size_t colon = address.rfind(':');
   if (colon == std::string::npos || colon == 0) reject(key, "must be HOST:PORT");
   Endpoint endpoint;
@@ -69,7 +69,7 @@
   return objects;
 }
 
-std::vector<std::string> SettingsObject::texts(const char* key) const {
+std::vector<std::string> SettingsObject::strings(const char* key) const {
   std::vector<std::string> texts;
   for (const json& value : require_list(key)) {
     if (!value.is_string()) reject(key, "must hold texts");
--- a/src/config/settings_object.h
+++ b/src/config/settings_object.h
@@ -1,6 +1,5 @@
 #pragma once
-// An object of the platform's settings file, read field by field. Used by settings_file.cpp. Every
-// function throws ConfigError with one line that names the field by its path.
+// Reads the fields of a JSON object of the platform's settings file.
 
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -12,29 +11,31 @@
 
 namespace rookdyke {
 
-// Ends the reading of the settings file with this message.
+// Throws ConfigError with this message.
 [[noreturn]] void reject_settings(const std::string& message);
 
+// A view of a JSON object. The functions that read a field throw ConfigError with a one-line
+// message that contains the field's path if the field is missing or invalid.
 class SettingsObject {
  public:
-  // `value` must outlive this object. `path`: what messages write before the names of its fields,
-  // such as "params.workers."; empty for the file itself.
+  // `value` must outlive this object. `path` is the prefix of field names in error messages, such
+  // as "params.workers."; empty for the top-level object.
   SettingsObject(const nlohmann::json& value, std::string path);
 
-  // Whether the field is there; it may be null.
+  // Whether the field exists. Its value may be null.
   bool has(const char* key) const;
 
-  // A text that is not empty.
-  std::string text(const char* key) const;
+  // A non-empty string.
+  std::string string(const char* key) const;
   double number(const char* key, const Range& range) const;
-  // A text HOST:PORT.
+  // A string of the form HOST:PORT.
   Endpoint endpoint(const char* key) const;
-  // An object; that it is one shows when a field of it is read.
+  // Any value; whether it is an object is checked when one of its fields is read.
   SettingsObject object(const char* key) const;
-  // The field if it is an object, empty if it is missing or null.
+  // An object, or empty if the field is missing or null.
   std::optional<SettingsObject> optional_object(const char* key) const;
   std::vector<SettingsObject> objects(const char* key) const;
-  std::vector<std::string> texts(const char* key) const;
+  std::vector<std::string> strings(const char* key) const;
 
  private:
   const nlohmann::json& require(const char* key) const;
--- a/src/daemon/cloud_reconciler.cpp
+++ b/src/daemon/cloud_reconciler.cpp
@@ -69,7 +69,7 @@
 void CloudReconciler::perform(const Wait& /*action*/, uint64_t /*fencing_token*/) {}
 
 void CloudReconciler::perform(const FetchTypes& action, uint64_t fencing_token) {
-  const auto types = cloud_.types();
+  const auto types = cloud_.machine_types();
   bool store = false;
   {
     auto state = shared_.lock();
@@ -110,7 +110,7 @@
 
 void CloudReconciler::perform(const ListMachines& /*action*/, uint64_t fencing_token) {
   const double requested_at = steady_now();
-  const auto list = cloud_.list();
+  const auto list = cloud_.list_machines();
   auto state = shared_.lock();
   next_list_at_ = steady_now() + list_interval_s_;
   Scheduler* scheduler = state->scheduler_of_term(fencing_token);
--- a/src/daemon/leader_election.cpp
+++ b/src/daemon/leader_election.cpp
@@ -44,7 +44,7 @@
       lease_held_ = true;
       renew_lease();
     } else if (lease_held_) {
-      client_.drop(lease_);
+      client_.revoke(lease_);
       lease_held_ = false;
     } else if (snapshot.role == Role::follower && snapshot.vacant && snapshot.machine_types_known) {
       campaign_after_delay();
@@ -103,7 +103,7 @@
 }
 
 // Writes the leader key under a new lease, on condition that the key does not exist. On failure,
-// drops the lease and returns empty.
+// revokes the lease and returns empty.
 std::optional<LeaderElection::LeaderKey> LeaderElection::acquire_leader_key() {
   const double requested_at = steady_now();
   const auto lease = client_.grant(config_.lease_ttl_s);
@@ -121,7 +121,7 @@
   // All of a predecessor's commits precede this key, so after the barrier the ledger cache has
   // them.
   if (result.outcome != ledger::Outcome::applied || !read_barrier_.wait(kBarrierTimeoutS)) {
-    client_.drop(*lease);  // also deletes the key, if the write was applied
+    client_.revoke(*lease);  // also deletes the key, if the write was applied
     return std::nullopt;
   }
   return LeaderKey{*lease, result.revision, requested_at};
@@ -162,7 +162,7 @@
     was_leader = state->leads();
     if (was_leader) state->step_down(Role::follower, "stopping");
   }
-  if (was_leader) client_.drop(lease_);
+  if (was_leader) client_.revoke(lease_);
 }
 
 }  // namespace rookdyke
--- a/src/daemon/peer_exchange.cpp
+++ b/src/daemon/peer_exchange.cpp
@@ -52,7 +52,7 @@
 void PeerExchange::update_write_demand() {
   auto state = shared_.lock();
   const double now = steady_now();
-  const double requested_writes = limiters_.writes.asked();
+  const double requested_writes = limiters_.writes.take_requested_count();
   const Scheduler* scheduler = state->scheduler();
   const double backlog = scheduler && state->leads() ? static_cast<double>(scheduler->unsent()) : 0;
   state->write_share().record_own(requested_writes, backlog, now);
--- a/src/daemon/transaction_committer.cpp
+++ b/src/daemon/transaction_committer.cpp
@@ -30,7 +30,7 @@
 // when the write rate limit admits it, so that it includes all changes made until then.
 std::optional<TransactionCommitter::Work> TransactionCommitter::wait_for_work() {
   auto state = shared_.lock();
-  if (const double wait_s = limiters_.writes.wait_for(1); wait_s > kNegligibleWaitS) {
+  if (const double wait_s = limiters_.writes.wait_time_s(1); wait_s > kNegligibleWaitS) {
     shared_.wait_for(state, shared_.wakeups().transactions, wait_s);
     return std::nullopt;
   }
--- a/src/net/rate_limit.h
+++ b/src/net/rate_limit.h
@@ -1,36 +1,39 @@
 #pragma once
-// Whether the state service's lowered limit of changes a second holds by now.
+// Detects whether the state service has lowered its limit of changes per second.
 
 #include <algorithm>
 
 namespace rookdyke::net {
 
-// A refusal for the rate (429) has two possible causes: the limit was lowered, or the replicas that
-// share it exceeded it together, as when all of them start at once. So a refusal lowers the rate at
-// once, but only for a limited time; then the former rate is tried again. If that is refused soon,
-// the next period is longer, and after some such periods in a row the lowered rate is permanent.
+// A 429 response has two possible causes: the state service has lowered the limit, or the
+// controllers that share the limit exceeded it together, for example because all of them started at
+// the same time. A 429 therefore lowers the rate at once, but only for a limited period; after
+// that, the normal rate is tried again. If that soon causes another 429, the next period is longer.
+// The kPeriodsUntilPermanent-th consecutive period does not end.
 //
-// Pure: all times are arguments, in seconds of a steady clock. Not thread-safe: the owner locks.
+// No function reads a clock: times are passed in, in seconds of the steady clock. Not thread-safe.
 class RateLimit {
  public:
+  // To be called when a write was rejected with 429.
   void on_refused(double now) {
     if (is_lowered(now)) return;
-    const bool soon = lowerings_ > 0 && now - lowered_until_ < kSoonS;
-    lowerings_ = soon ? lowerings_ + 1 : 1;
-    lowered_until_ = now + std::min(kPeriodS * lowerings_, kMaxPeriodS);
+    const bool consecutive = consecutive_periods_ > 0 && now - lowered_until_ < kConsecutiveWithinS;
+    consecutive_periods_ = consecutive ? consecutive_periods_ + 1 : 1;
+    lowered_until_ = now + std::min(kInitialPeriodS * consecutive_periods_, kMaxPeriodS);
   }
   bool is_lowered(double now) const {
-    return lowerings_ >= kPermanentAfter || now < lowered_until_;
+    return consecutive_periods_ >= kPeriodsUntilPermanent || now < lowered_until_;
   }
 
  private:
-  static constexpr double kPeriodS = 10;
+  static constexpr double kInitialPeriodS = 10;  // the n-th consecutive period is n times as long
   static constexpr double kMaxPeriodS = 60;
-  static constexpr double kSoonS = 15;
-  static constexpr int kPermanentAfter = 4;
+  // A period that starts within this time after the end of the previous one is consecutive.
+  static constexpr double kConsecutiveWithinS = 15;
+  static constexpr int kPeriodsUntilPermanent = 4;
 
   double lowered_until_ = -1e9;
-  int lowerings_ = 0;  // in a row, each soon after the one before
+  int consecutive_periods_ = 0;
 };
 
 }  // namespace rookdyke::net
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -17,26 +17,27 @@
 
 namespace {
 
-constexpr int kIdleMs = 60'000;  // a silent kept-open connection is closed after this
-constexpr int kSweepMs = 5'000;
-constexpr std::chrono::seconds kThreadIdle(10);
-constexpr size_t kMinIdleThreads = 4;  // these do not end
-constexpr int kReadMs = 5'000;         // for the next bytes within a request
-constexpr int kWriteMs = 5'000;
-constexpr size_t kMaxHead = size_t{64} * 1024;  // of a request: its headers, and what chunks take
-constexpr int kBacklog = 512;                   // the library's is 5
-// After a request has waited for a thread for so long, its connection is checked again: its sender
-// may have given up.
-constexpr std::chrono::milliseconds kRecheckAfter(500);
-constexpr size_t kEventBatch = 64;
+constexpr int kIdleTimeoutMs = 60'000;  // of keep-alive connections
+constexpr int kSweepIntervalMs = 5'000;
+constexpr std::chrono::seconds kThreadIdleTimeout(10);
+constexpr size_t kMinIdleThreads = 4;  // kept beyond kThreadIdleTimeout
+constexpr int kReadTimeoutMs = 5'000;  // for the next bytes of a request
+constexpr int kWriteTimeoutMs = 5'000;
+constexpr size_t kMaxHeaderBytes = size_t{64} * 1024;  // headers and chunk framing of a request
+constexpr int kListenBacklog = 512;                    // the library's default is 5
+// If a request has waited longer than this for a thread, its connection is checked again, since the
+// client may have closed it in the meantime.
+constexpr std::chrono::milliseconds kConnectionRecheckDelay(500);
+constexpr size_t kMaxEventsPerWait = 64;
 constexpr size_t kStackBytes =
-    1 << 20;  // reserved, not used: the library matches headers recursively
+    1 << 20;  // address space, mostly unused; the library matches headers recursively
 
-constexpr const char* kServePath = "/";
-constexpr const char* kPeerClosedPath = "/left";  // of requests whose sender is not there any more
-thread_local bool close_requested = false;  // by the handler of the request that this thread serves
+constexpr const char* kRequestPath = "/";
+constexpr const char* kPeerClosedPath = "/left";  // handles requests whose client has disconnected
+// Whether the handler of the current thread's request has asked to close the connection.
+thread_local bool close_requested = false;
 
-bool wait_for(int fd, short events, int ms) {
+bool wait_for_events(int fd, short events, int ms) {
   pollfd p{fd, events, 0};
   int n = 0;
   do n = ::poll(&p, 1, ms);
@@ -46,61 +47,64 @@
 
 }  // namespace
 
-// A connection's socket, buffered in both directions: a request is usually one recv, an answer one
-// send.
+// A connection's socket with input and output buffers, so that a request usually takes one recv and
+// a response one send.
 class ConnectionStream : public httplib::Stream {
  public:
   explicit ConnectionStream(int fd) : fd_(fd) {}
 
-  // Reads what has come; false: the peer has closed.
-  bool begin() {
-    left_ = kMaxHead;
-    return from_ < in_.size() || receive() > 0;
+  // Starts reading a request. Returns false if the client has closed the connection.
+  bool begin_request() {
+    bytes_left_ = kMaxHeaderBytes;
+    return read_position_ < input_.size() || receive() > 0;
   }
-  // The library limits only bodies that name their length; one in chunks could take all memory.
-  void allow(size_t bytes) { left_ = bytes; }
-  bool spent() const { return left_ == 0; }
-  bool buffered() const { return from_ < in_.size(); }
-  bool peer_left() const { return wait_for(fd_, POLLRDHUP, 0); }
-  // Frees the buffers of a connection that becomes idle.
+  // Limits the remaining bytes of the request. The library limits only bodies with a
+  // Content-Length; a chunked body could use all memory.
+  void set_byte_limit(size_t bytes) { bytes_left_ = bytes; }
+  bool is_exhausted() const { return bytes_left_ == 0; }
+  bool has_buffered_input() const { return read_position_ < input_.size(); }
+  bool peer_closed() const { return wait_for_events(fd_, POLLRDHUP, 0); }
+  // Frees the memory of the buffers. Called when the connection becomes idle.
   void release_buffers() {
-    std::string().swap(in_);
-    std::string().swap(out_);
-    from_ = 0;
+    std::string().swap(input_);
+    std::string().swap(output_);
+    read_position_ = 0;
   }
   bool flush() {
     size_t sent = 0;
-    while (sent < out_.size()) {
-      const ssize_t n = ::send(fd_, out_.data() + sent, out_.size() - sent, MSG_NOSIGNAL);
+    while (sent < output_.size()) {
+      const ssize_t n = ::send(fd_, output_.data() + sent, output_.size() - sent, MSG_NOSIGNAL);
       if (n > 0) {
         sent += static_cast<size_t>(n);
       } else if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
-        if (!wait_for(fd_, POLLOUT, kWriteMs)) break;
+        if (!wait_for_events(fd_, POLLOUT, kWriteTimeoutMs)) break;
       } else if (!(n < 0 && errno == EINTR)) {
         break;
       }
     }
-    const bool all = sent == out_.size();
-    out_.clear();
+    const bool all = sent == output_.size();
+    output_.clear();
     return all;
   }
 
-  bool is_readable() const override { return from_ < in_.size() || wait_for(fd_, POLLIN, kReadMs); }
+  bool is_readable() const override {
+    return read_position_ < input_.size() || wait_for_events(fd_, POLLIN, kReadTimeoutMs);
+  }
   bool is_writable() const override { return true; }
   ssize_t read(char* ptr, size_t size) override {
-    if (spent()) return -1;
-    if (from_ >= in_.size()) {
-      const ssize_t n = fill(kReadMs);
+    if (is_exhausted()) return -1;
+    if (read_position_ >= input_.size()) {
+      const ssize_t n = fill(kReadTimeoutMs);
       if (n <= 0) return n;
     }
-    const size_t n = std::min({size, in_.size() - from_, left_});
-    std::memcpy(ptr, in_.data() + from_, n);
-    from_ += n;
-    left_ -= n;
+    const size_t n = std::min({size, input_.size() - read_position_, bytes_left_});
+    std::memcpy(ptr, input_.data() + read_position_, n);
+    read_position_ += n;
+    bytes_left_ -= n;
     return static_cast<ssize_t>(n);
   }
   ssize_t write(const char* ptr, size_t size) override {
-    out_.append(ptr, size);
+    output_.append(ptr, size);
     return static_cast<ssize_t>(size);
   }
   void get_remote_ip_and_port(std::string&, int&) const override {}
@@ -109,23 +113,23 @@
 
  private:
   ssize_t fill(int ms) {
-    if (!wait_for(fd_, POLLIN, ms)) return -1;
+    if (!wait_for_events(fd_, POLLIN, ms)) return -1;
     return receive();
   }
   ssize_t receive() {
-    in_.resize(8192);
-    from_ = 0;
+    input_.resize(8192);
+    read_position_ = 0;
     ssize_t n = 0;
-    do n = ::recv(fd_, in_.data(), in_.size(), 0);
+    do n = ::recv(fd_, input_.data(), input_.size(), 0);
     while (n < 0 && errno == EINTR);
-    in_.resize(n > 0 ? static_cast<size_t>(n) : 0);
+    input_.resize(n > 0 ? static_cast<size_t>(n) : 0);
     return n;
   }
 
   int fd_;
-  std::string in_, out_;
-  size_t from_ = 0;
-  size_t left_ = 0;  // bytes that the request may still have
+  std::string input_, output_;
+  size_t read_position_ = 0;
+  size_t bytes_left_ = 0;  // bytes that may still be read for the current request
 };
 
 void start_thread(std::function<void()> fn, size_t stack_bytes) {
@@ -153,28 +157,28 @@
 void ThreadPool::enqueue(std::function<void()> fn) {
   std::unique_lock lock(mutex_);
   queue_.push_back(std::move(fn));
-  if (idle_ >= queue_.size() || threads_ >= max_threads_) {
-    wake_.notify_one();
+  if (idle_threads_ >= queue_.size() || thread_count_ >= max_threads_) {
+    work_available_.notify_one();
     return;
   }
-  ++threads_;
+  ++thread_count_;
   lock.unlock();
   try {
     start_thread([this] { run(); }, kStackBytes);
   } catch (const std::system_error&) {
     lock.lock();
-    --threads_;  // a thread that runs already takes the work
+    --thread_count_;  // a running thread will execute the work
   }
 }
 
 void ThreadPool::run() {
   std::unique_lock lock(mutex_);
   while (true) {
-    ++idle_;
-    const bool woken =
-        wake_.wait_for(lock, kThreadIdle, [this] { return stop_ || !queue_.empty(); });
-    --idle_;
-    if (!woken && idle_ < kMinIdleThreads) continue;
+    ++idle_threads_;
+    const bool notified = work_available_.wait_for(lock, kThreadIdleTimeout,
+                                                   [this] { return stop_ || !queue_.empty(); });
+    --idle_threads_;
+    if (!notified && idle_threads_ < kMinIdleThreads) continue;
     if (queue_.empty()) break;
     auto fn = std::move(queue_.front());
     queue_.pop_front();
@@ -183,37 +187,38 @@
     fn = nullptr;
     lock.lock();
   }
-  --threads_;
-  ended_.notify_all();
+  --thread_count_;
+  thread_ended_.notify_all();
 }
 
 void ThreadPool::shutdown() {
   std::unique_lock lock(mutex_);
   stop_ = true;
-  wake_.notify_all();
-  ended_.wait(lock, [this] { return threads_ == 0; });
+  work_available_.notify_all();
+  thread_ended_.wait(lock, [this] { return thread_count_ == 0; });
 }
 
-Server::Server(Endpoint at, size_t max_connections, size_t max_threads, size_t max_body,
-               const Handle& handle)
-    : at_(std::move(at)), max_connections_(max_connections), max_threads_(max_threads) {
+Server::Server(Endpoint address, size_t max_connections, size_t max_threads, size_t max_body,
+               const RequestHandler& handle)
+    : address_(std::move(address)), max_connections_(max_connections), max_threads_(max_threads) {
   set_payload_max_length(max_body);
   set_tcp_nodelay(true);
   set_keep_alive_max_count(1'000'000);
-  set_keep_alive_timeout(kIdleMs / 1000);
+  set_keep_alive_timeout(kIdleTimeoutMs / 1000);
   new_task_queue = [this] { return thread_pool_ = new ThreadPool(max_threads_); };
-  // The library routes by regular expressions, which recurse over the path; every request is
-  // routed as "/" and told apart by its target (process_and_close_socket).
-  // A request whose sender has closed the connection is not executed (it may have waited while the
-  // process was suspended): its sender has retried at another replica since.
+  // The library matches paths with regular expressions, which recurse over the length of the
+  // path. Therefore serve() replaces the path of every request by one of two fixed paths, and the
+  // handler uses Request::target.
+  // A request whose client has closed the connection is not executed: it may have waited while the
+  // process was suspended, and the client has retried with another controller since.
   const httplib::Server::Handler peer_closed = [](const httplib::Request&, httplib::Response& res) {
     res.status = 503;
     res.set_header("Retry-After", "1");
   };
-  Get(kServePath, handle);
-  Post(kServePath, handle);
-  Put(kServePath, handle);
-  Delete(kServePath, handle);
+  Get(kRequestPath, handle);
+  Post(kRequestPath, handle);
+  Put(kRequestPath, handle);
+  Delete(kRequestPath, handle);
   Get(kPeerClosedPath, peer_closed);
   Post(kPeerClosedPath, peer_closed);
   Put(kPeerClosedPath, peer_closed);
@@ -221,72 +226,75 @@
   set_exception_handler([](const httplib::Request&, httplib::Response& res,
                            const std::exception_ptr&) { res.status = 500; });
   set_error_handler(Handler([](const httplib::Request&, httplib::Response& res) {
-    if (res.status == 413) res.status = 400;  // too large a body is malformed here
+    if (res.status == 413)
+      res.status = 400;  // the API treats a body that is too large as malformed
   }));
 }
 
 Server::~Server() { halt(); }
 
 bool Server::start() {
-  if (at_.port == 0) {
-    at_.port = bind_to_any_port(at_.host);
-    if (at_.port <= 0) return false;
-  } else if (!bind_to_port(at_.host, at_.port)) {
+  if (address_.port == 0) {
+    address_.port = bind_to_any_port(address_.host);
+    if (address_.port <= 0) return false;
+  } else if (!bind_to_port(address_.host, address_.port)) {
     return false;
   }
-  ::listen(svr_sock_, kBacklog);
-  epoll_ = ::epoll_create1(EPOLL_CLOEXEC);
-  wake_ = ::eventfd(0, EFD_CLOEXEC);
+  ::listen(svr_sock_, kListenBacklog);
+  epoll_fd_ = ::epoll_create1(EPOLL_CLOEXEC);
+  wake_fd_ = ::eventfd(0, EFD_CLOEXEC);
   epoll_event e{};
   e.events = EPOLLIN;
-  e.data.fd = wake_;
-  if (epoll_ < 0 || wake_ < 0 || ::epoll_ctl(epoll_, EPOLL_CTL_ADD, wake_, &e) != 0) return false;
-  watcher_ = std::thread([this] { watch_idle(); });
-  listener_ = std::thread([this] { listen_after_bind(); });
+  e.data.fd = wake_fd_;
+  if (epoll_fd_ < 0 || wake_fd_ < 0 || ::epoll_ctl(epoll_fd_, EPOLL_CTL_ADD, wake_fd_, &e) != 0)
+    return false;
+  watcher_thread_ = std::thread([this] { watch_idle_connections(); });
+  listener_thread_ = std::thread([this] { listen_after_bind(); });
   return true;
 }
 
 void Server::halt() {
-  if (!listener_.joinable()) return;
+  if (!listener_thread_.joinable()) return;
   halting_ = true;
   const uint64_t one = 1;
-  if (::write(wake_, &one, sizeof one) < 0) return;
-  watcher_.join();
+  if (::write(wake_fd_, &one, sizeof one) < 0) return;
+  watcher_thread_.join();
   stop();
-  listener_.join();
-  ::close(epoll_);
-  ::close(wake_);
+  listener_thread_.join();
+  ::close(epoll_fd_);
+  ::close(wake_fd_);
 }
 
 void Server::close_after_answer() { close_requested = true; }
 
 void Server::close(const std::shared_ptr<ConnectionStream>& stream) {
-  --open_;
+  --open_connections_;
   ::shutdown(stream->socket(), SHUT_RDWR);
   ::close(stream->socket());
 }
 
-// A new connection.
+// Called by the library for each new connection.
 bool Server::process_and_close_socket(socket_t sock) {
   const int one = 1;
   ::setsockopt(sock, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  if (++open_ > max_connections_) close_longest_idle();
+  if (++open_connections_ > max_connections_) close_longest_idle();
   watch(std::make_shared<ConnectionStream>(sock));
   return true;
 }
 
-// At the limit of connections, the longest idle one is closed: it is the likeliest to belong to a
-// machine or user that has disappeared. New ones, among them health checks, are never refused.
+// Called when the connection limit is exceeded. The connection that has been idle longest is the
+// most likely to belong to a machine or user that has disappeared. New connections, such as those
+// of health checks, are never refused.
 void Server::close_longest_idle() {
   std::shared_ptr<ConnectionStream> stream;
   {
     std::lock_guard lock(mutex_);
     const auto longest = std::min_element(
-        idle_.begin(), idle_.end(),
+        idle_connections_.begin(), idle_connections_.end(),
         [](const auto& a, const auto& b) { return a.second.idle_since < b.second.idle_since; });
-    if (longest == idle_.end()) return;
+    if (longest == idle_connections_.end()) return;
     stream = std::move(longest->second.stream);
-    idle_.erase(longest);
+    idle_connections_.erase(longest);
   }
   close(stream);
 }
@@ -302,26 +310,27 @@
     lock.unlock();
     return close(stream);
   }
-  idle_[fd] = {std::move(stream), std::chrono::steady_clock::now()};
-  // A connection that was watched before is still registered with epoll, disarmed (EPOLLONESHOT).
-  if (::epoll_ctl(epoll_, EPOLL_CTL_MOD, fd, &e) != 0 &&
-      ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &e) != 0) {
-    stream = std::move(idle_[fd].stream);
-    idle_.erase(fd);
+  idle_connections_[fd] = {std::move(stream), std::chrono::steady_clock::now()};
+  // A connection that was watched before is still registered with epoll, but disarmed
+  // (EPOLLONESHOT).
+  if (::epoll_ctl(epoll_fd_, EPOLL_CTL_MOD, fd, &e) != 0 &&
+      ::epoll_ctl(epoll_fd_, EPOLL_CTL_ADD, fd, &e) != 0) {
+    stream = std::move(idle_connections_[fd].stream);
+    idle_connections_.erase(fd);
     lock.unlock();
     close(stream);
   }
 }
 
-// Hands a connection on which a request begins, or which its peer closed, to the thread pool.
+// Passes a connection to the thread pool when a request arrives or the client has closed it.
 void Server::dispatch(const epoll_event& event) {
   std::shared_ptr<ConnectionStream> stream;
   {
     std::lock_guard lock(mutex_);
-    const auto found = idle_.find(event.data.fd);
-    if (found == idle_.end()) return;
+    const auto found = idle_connections_.find(event.data.fd);
+    if (found == idle_connections_.end()) return;
     stream = std::move(found->second.stream);
-    idle_.erase(found);
+    idle_connections_.erase(found);
   }
   const bool peer_closed = event.events & (EPOLLRDHUP | EPOLLHUP);
   thread_pool_->enqueue([this, stream, peer_closed, since = std::chrono::steady_clock::now()] {
@@ -329,54 +338,56 @@
   });
 }
 
-// Closes the connections that have been idle for kIdleMs.
+// Closes the connections that have been idle for longer than kIdleTimeoutMs.
 void Server::close_expired(Time now) {
   std::vector<std::shared_ptr<ConnectionStream>> expired;
   {
     std::lock_guard lock(mutex_);
-    for (auto it = idle_.begin(); it != idle_.end();) {
-      const bool is_expired = now - it->second.idle_since > std::chrono::milliseconds(kIdleMs);
+    for (auto it = idle_connections_.begin(); it != idle_connections_.end();) {
+      const bool is_expired =
+          now - it->second.idle_since > std::chrono::milliseconds(kIdleTimeoutMs);
       if (is_expired) expired.push_back(std::move(it->second.stream));
-      it = is_expired ? idle_.erase(it) : std::next(it);
+      it = is_expired ? idle_connections_.erase(it) : std::next(it);
     }
   }
   for (const auto& stream : expired) close(stream);
 }
 
-void Server::watch_idle() {
-  std::vector<epoll_event> events(kEventBatch);
-  auto swept_at = std::chrono::steady_clock::now();
+void Server::watch_idle_connections() {
+  std::vector<epoll_event> events(kMaxEventsPerWait);
+  auto last_sweep_at = std::chrono::steady_clock::now();
   while (!halting_) {
     const int count =
-        ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), kSweepMs);
+        ::epoll_wait(epoll_fd_, events.data(), static_cast<int>(events.size()), kSweepIntervalMs);
     for (int i = 0; i < count; ++i) dispatch(events[static_cast<size_t>(i)]);
     const auto now = std::chrono::steady_clock::now();
-    if (now - swept_at < std::chrono::milliseconds(kSweepMs)) continue;
-    swept_at = now;
+    if (now - last_sweep_at < std::chrono::milliseconds(kSweepIntervalMs)) continue;
+    last_sweep_at = now;
     close_expired(now);
   }
   std::lock_guard lock(mutex_);
-  for (auto& [fd, connection] : idle_) close(connection.stream);
-  idle_.clear();
+  for (auto& [fd, connection] : idle_connections_) close(connection.stream);
+  idle_connections_.clear();
 }
 
 void Server::serve(std::shared_ptr<ConnectionStream> stream, bool peer_closed,
                    Time readable_since) {
-  if (!stream->begin()) return close(stream);
-  if (!peer_closed && std::chrono::steady_clock::now() - readable_since > kRecheckAfter)
-    peer_closed = stream->peer_left();
+  if (!stream->begin_request()) return close(stream);
+  if (!peer_closed && std::chrono::steady_clock::now() - readable_since > kConnectionRecheckDelay)
+    peer_closed = stream->peer_closed();
   do {
     bool closed = false;
     close_requested = false;
     const bool ok = process_request(*stream, peer_closed, closed, [&](httplib::Request& request) {
-      request.path = peer_closed ? kPeerClosedPath : kServePath;
+      request.path = peer_closed ? kPeerClosedPath : kRequestPath;
       const bool has_length =
           request.has_header("Content-Length") && !request.has_header("Transfer-Encoding");
-      stream->allow(has_length ? SIZE_MAX : payload_max_length_ + kMaxHead);
+      stream->set_byte_limit(has_length ? SIZE_MAX : payload_max_length_ + kMaxHeaderBytes);
     });
-    if (!stream->flush() || !ok || closed || peer_closed || close_requested || stream->spent())
+    if (!stream->flush() || !ok || closed || peer_closed || close_requested ||
+        stream->is_exhausted())
       return close(stream);
-  } while (stream->buffered() && stream->begin());
+  } while (stream->has_buffered_input() && stream->begin_request());
   watch(std::move(stream));
 }
 
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -1,9 +1,10 @@
 #pragma once
-// The HTTP server: cpp-httplib's, changed for small machines with a thousand kept-open connections.
-// Idle connections are watched together by one epoll thread (a thread each took 45 KB), and take a
-// thread of a bounded pool only while a request is served. A request usually takes one recv, an
-// answer one send; the listen backlog is deep, since all workers reconnect at the same time. Owned
-// by the controller: one server for users and workers, one for siblings.
+// HTTP server: cpp-httplib's server, adapted to about a thousand keep-alive connections on a small
+// machine. One epoll thread watches all idle connections, since a thread for each took 45 KB; a
+// connection uses a thread of a bounded pool only while a request is served. A request usually
+// takes one recv and a response one send. The listen backlog is long, since all workers may
+// reconnect at the same time. The controller owns two servers: one for users and workers, one for
+// peer controllers.
 
 #include <httplib.h>
 #include <sys/epoll.h>
@@ -23,8 +24,8 @@
 
 namespace rookdyke::net {
 
-// A pool of up to max_threads threads. They are started as needed, reused, and end after some time
-// without work; when all are busy, work waits in a queue. Thread-safe.
+// A pool of up to `max_threads` threads. Threads are started on demand, reused, and end after an
+// idle timeout. Work is queued while all threads are busy. Thread-safe.
 class ThreadPool : public httplib::TaskQueue {
  public:
   explicit ThreadPool(size_t max_threads) : max_threads_(max_threads) {}
@@ -33,33 +34,36 @@
   void shutdown() override;
 
  private:
-  void run();  // of each thread
+  void run();  // main function of each thread
   const size_t max_threads_;
   std::mutex mutex_;
-  std::condition_variable wake_;
-  std::condition_variable ended_;
+  std::condition_variable work_available_;
+  std::condition_variable thread_ended_;
   std::deque<std::function<void()>> queue_;
-  size_t threads_ = 0;
-  size_t idle_ = 0;
+  size_t thread_count_ = 0;
+  size_t idle_threads_ = 0;
   bool stop_ = false;
 };
 
 class ConnectionStream;
 
+// start() and halt() are to be called by the owner's thread; handlers run concurrently on the
+// threads of the pool.
 class Server : public httplib::Server {
  public:
-  // One handler for all; Request::target is the path as sent, undecoded.
-  using Handle = std::function<void(const httplib::Request&, httplib::Response&)>;
+  // Handles all requests. Request::target holds the path as it was sent, not decoded.
+  using RequestHandler = std::function<void(const httplib::Request&, httplib::Response&)>;
 
-  Server(Endpoint at, size_t max_connections, size_t max_threads, size_t max_body,
-         const Handle& handle);
+  Server(Endpoint address, size_t max_connections, size_t max_threads, size_t max_body,
+         const RequestHandler& handle);
   ~Server() override;
-  // Binds, listens and serves in threads of its own; false: the address cannot be bound.
+  // Binds the address and starts the threads that listen and serve. Returns false if the address
+  // cannot be bound.
   bool start();
-  // Stops serving and waits for its threads; also done by the destructor.
+  // Stops serving and waits for the threads to end. Also called by the destructor.
   void halt();
-  int port() const { return at_.port; }
-  // To be called by a handler: the connection is closed after this answer.
+  int port() const { return address_.port; }
+  // To be called by a handler to have the connection closed after the response.
   static void close_after_answer();
 
  private:
@@ -69,34 +73,34 @@
     Time idle_since;
   };
   bool process_and_close_socket(socket_t sock) override;
-  // Serves a request that has begun to arrive at `readable_since`. `peer_closed`: its sender has
-  // closed the connection already.
+  // Serves a request whose first bytes arrived at `readable_since`. `peer_closed` tells that the
+  // client has already closed the connection.
   void serve(std::shared_ptr<ConnectionStream> stream, bool peer_closed, Time readable_since);
-  // Lets epoll watch the connection until the next request begins.
+  // Adds the connection to the idle ones, which epoll watches until the next request arrives.
   void watch(std::shared_ptr<ConnectionStream> stream);
-  // The epoll thread.
-  void watch_idle();
+  // Main function of the epoll thread.
+  void watch_idle_connections();
   void dispatch(const epoll_event& event);
   void close_expired(Time now);
   void close_longest_idle();
   void close(const std::shared_ptr<ConnectionStream>& stream);
 
-  Endpoint at_;
+  Endpoint address_;
   size_t max_connections_;
   size_t max_threads_;
-  ThreadPool* thread_pool_ = nullptr;  // owned by the listening loop
-  std::thread listener_;
-  std::thread watcher_;
+  ThreadPool* thread_pool_ = nullptr;  // owned by the library's listening loop
+  std::thread listener_thread_;
+  std::thread watcher_thread_;
   std::mutex mutex_;
-  std::unordered_map<int, Connection> idle_;  // by file descriptor, watched by epoll_
-  std::atomic<size_t> open_{0};
+  std::unordered_map<int, Connection> idle_connections_;  // by file descriptor; guarded by mutex_
+  std::atomic<size_t> open_connections_{0};
   std::atomic<bool> halting_{false};
-  int epoll_ = -1;
-  int wake_ = -1;  // an eventfd that wakes the epoll thread to halt
+  int epoll_fd_ = -1;
+  int wake_fd_ = -1;  // eventfd that wakes the epoll thread when the server halts
 };
 
-// Starts a detached thread with a stack of that size, which std::thread cannot. Throws
-// std::system_error.
+// Starts a detached thread with the given stack size, which std::thread does not support. Throws
+// std::system_error if the thread cannot be created.
 void start_thread(std::function<void()> fn, size_t stack_bytes);
 
 }  // namespace rookdyke::net
--- a/src/net/steady_clock.h
+++ b/src/net/steady_clock.h
@@ -1,11 +1,11 @@
 #pragma once
-// The clock that all time limits of this process are measured by.
+// The clock used for all intervals and timeouts of this process.
 
 #include <chrono>
 
 namespace rookdyke {
 
-// Seconds of the steady clock: they mean something to this process alone. Thread-safe.
+// Seconds of the steady clock; not comparable between processes. Thread-safe.
 inline double steady_now() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
--- a/src/net/write_share.cpp
+++ b/src/net/write_share.cpp
@@ -7,20 +7,21 @@
 
 namespace {
 
-// Parts of the limit for all replicas together.
-constexpr double kUsable = 0.95;
-constexpr double kMinFollowers = 0.2;  // all followers together, whatever their demand: submissions
-                                       // come singly, and past demand says little of the next
-constexpr double kMaxFollowers = 0.85;
-constexpr double kMaxFollowersBesideBusyLeader = 0.6;
-constexpr double kBusyLeader = 0.25;  // demand from which a leader is busy
+// Fractions of the limit of the whole deployment.
+constexpr double kUsableFraction = 0.95;
+// The minimum share of all followers together. It does not depend on their demand: submissions
+// arrive one at a time, so recent demand does not predict the next one.
+constexpr double kMinFollowersShare = 0.2;
+constexpr double kMaxFollowersShare = 0.85;
+constexpr double kMaxFollowersShareWithBusyLeader = 0.6;
+constexpr double kBusyLeaderDemand = 0.25;  // a leader with a higher demand is busy
 
 constexpr double kDemandHeadroom = 1.5;  // a follower's share, as a multiple of its demand
-constexpr double kDemandDecay = 0.7;     // of this replica's demand, from one call to the next
-constexpr double kMinPeriodS = 0.2;
-constexpr double kDemandValidS = 6;  // how long a sibling's reported demand counts
-constexpr double kReachableS = kDemandValidS / 2;
-constexpr double kMaxDemand = 1e6;  // changes a second; a higher one is not believed
+constexpr double kDemandDecay = 0.7;     // factor per call of record_own()
+constexpr double kMinPeriodS = 0.2;      // for computing a rate from the changes of a period
+constexpr double kDemandValidS = 6;      // of a peer controller's reported demand
+constexpr double kReachableTimeoutS = kDemandValidS / 2;
+constexpr double kMaxDemand = 1e6;  // changes per second; higher reported values are capped
 
 }  // namespace
 
@@ -32,13 +33,13 @@
       writes_per_s_(std::max(1e-3, writes_per_s)) {}
 
 void WriteShare::record_own(double writes, double backlog, double now) {
-  const double period = std::max(kMinPeriodS, now - own_at_);
-  own_at_ = now;
+  const double period = std::max(kMinPeriodS, now - own_recorded_at_);
+  own_recorded_at_ = now;
   own_demand_ = std::max({writes / period, kDemandDecay * own_demand_, backlog});
 }
 
 void WriteShare::record_sibling(const std::string& label, double demand, double now) {
-  // Unknown labels are not stored: they would take memory without limit.
+  // Unknown labels are not stored, since they could use an unbounded amount of memory.
   if (std::find(siblings_.begin(), siblings_.end(), label) == siblings_.end()) return;
   sibling_demands_[label] = {std::clamp(demand, 0.0, kMaxDemand), now};
 }
@@ -47,12 +48,12 @@
   return static_cast<int>(
       std::count_if(siblings_.begin(), siblings_.end(), [&](const std::string& s) {
         auto it = sibling_demands_.find(s);
-        return it != sibling_demands_.end() && now - it->second.at < kReachableS;
+        return it != sibling_demands_.end() && now - it->second.reported_at < kReachableTimeoutS;
       }));
 }
 
 double WriteShare::share(const std::string& leader, double now) const {
-  if (replicas_ <= 1) return kUsable;
+  if (replicas_ <= 1) return kUsableFraction;
   double followers = 0, leader_demand = 0;
   const auto add = [&](const std::string& label, double demand) {
     if (label == leader)
@@ -63,20 +64,21 @@
   add(label_, own_demand_);
   for (const std::string& sibling : siblings_) add(sibling, sibling_demand(sibling, now));
   const double max_followers =
-      leader_demand > kBusyLeader ? kMaxFollowersBesideBusyLeader : kMaxFollowers;
+      leader_demand > kBusyLeaderDemand ? kMaxFollowersShareWithBusyLeader : kMaxFollowersShare;
   const double scale = followers > max_followers ? max_followers / followers : 1;
-  if (leader == label_) return kUsable - scale * followers;
+  if (leader == label_) return kUsableFraction - scale * followers;
   return scale * follower_share(own_demand_);
 }
 
 double WriteShare::follower_share(double demand) const {
-  return kDemandHeadroom * demand / writes_per_s_ + kMinFollowers / (replicas_ - 1);
+  return kDemandHeadroom * demand / writes_per_s_ + kMinFollowersShare / (replicas_ - 1);
 }
 
 double WriteShare::sibling_demand(const std::string& label, double now) const {
   auto it = sibling_demands_.find(label);
-  return it != sibling_demands_.end() && now - it->second.at < kDemandValidS ? it->second.writes
-                                                                             : 0;
+  return it != sibling_demands_.end() && now - it->second.reported_at < kDemandValidS
+             ? it->second.writes_per_s
+             : 0;
 }
 
 }  // namespace rookdyke::net
--- a/src/net/write_share.h
+++ b/src/net/write_share.h
@@ -1,7 +1,7 @@
 #pragma once
-// Divides the changes a second that all replicas together may make in the state service among them,
-// by demand. Each controller owns one; the replicas exchange their demands over the mesh, so all
-// arrive at about the same division.
+// Divides the deployment's limit of changes per second in the state service among the controllers
+// according to their demand. Each controller owns a WriteShare. The controllers exchange their
+// demands, so all of them compute nearly the same shares.
 
 #include <map>
 #include <string>
@@ -9,41 +9,45 @@
 
 namespace rookdyke::net {
 
-// One replica's own demand, the last reported demand of each sibling, and this replica's share.
-// Pure: all times are arguments, in seconds of a steady clock. Not thread-safe: the owner locks.
+// Holds this controller's demand and the last reported demand of each peer controller, and computes
+// this controller's share. No function reads a clock: times are passed in, in seconds of the steady
+// clock. Not thread-safe.
 class WriteShare {
  public:
-  // `replicas` counts this one too; `writes_per_s` is the limit for all together.
+  // `replicas` is the number of controllers including this one; `writes_per_s` is the limit of the
+  // whole deployment.
   WriteShare(std::string label, std::vector<std::string> siblings, int replicas,
              double writes_per_s);
 
-  // This replica asked for `writes` changes since the last call; `backlog`: changes that a leader
-  // still has to make, 0 for followers.
+  // Records that this controller requested `writes` changes since the previous call. `backlog` is
+  // the number of changes that a leader has yet to make; 0 for followers.
   void record_own(double writes, double backlog, double now);
-  // This replica's demand in changes a second, to be reported to its siblings. It rises at once and
-  // falls slowly.
+  // This controller's demand in changes per second, to be reported to the peer controllers. It
+  // rises at once and decays slowly.
   double own_demand() const { return own_demand_; }
-  // A sibling reported its demand in changes a second. Ignored if the label is no sibling's.
+  // Records the demand that a peer controller reported, in changes per second. Ignores unknown
+  // labels.
   void record_sibling(const std::string& label, double demand, double now);
-  // How many siblings reported recently, and so can be reached.
+  // The number of peer controllers that reported recently and are therefore taken to be reachable.
   int reachable_siblings(double now) const;
 
-  // The limit for all replicas together has changed to this.
+  // Sets the limit of the whole deployment.
   void set_limit(double writes_per_s) { writes_per_s_ = writes_per_s; }
 
-  // This replica's share of the limit, 0 to 1, if the replica of that label leads (empty: unknown).
-  // Followers, which write submissions, get one and a half times their recent demand, up to a
-  // maximum that is lower while the leader is busy; the leader gets the rest.
+  // Returns this controller's share of the limit, 0 to 1. `leader` is the label of the leader,
+  // empty if unknown. Followers, which write submissions, get one and a half times their recent
+  // demand and a minimum share, up to a maximum that is lower while the leader is busy; the leader
+  // gets the rest.
   double share(const std::string& leader, double now) const;
 
  private:
   struct Demand {
-    double writes = 0;  // a second
-    double at = -1e9;   // when it was reported
+    double writes_per_s = 0;
+    double reported_at = -1e9;  // in seconds of the steady clock
   };
-  // A follower's share for that demand, before scaling to the maximum for all followers together.
+  // A follower's share for the given demand, before scaling to the followers' maximum share.
   double follower_share(double demand) const;
-  // A sibling's last reported demand; 0 if that is too long ago.
+  // A peer controller's last reported demand; 0 if the report is older than kDemandValidS.
   double sibling_demand(const std::string& label, double now) const;
 
   const std::string label_;
@@ -52,7 +56,7 @@
   double writes_per_s_;
   std::map<std::string, Demand> sibling_demands_;
   double own_demand_ = 0;
-  double own_at_ = 0;
+  double own_recorded_at_ = 0;
 };
 
 }  // namespace rookdyke::net
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -17,16 +17,16 @@
 
 constexpr std::chrono::milliseconds kConnectTimeout(700);
 constexpr std::chrono::seconds kWriteTimeout(1);
-// How long reads and the end of a lease wait for the rate limits.
+// Maximum waits for the rate limits.
 constexpr double kReadMaxWaitS = 1.0;
-constexpr double kDropMaxWaitS = 0.5;
-// How long all requests are held back after one was refused for its rate.
-constexpr double kRefusalPenaltyS = 0.2;
+constexpr double kRevokeMaxWaitS = 0.5;
+// Duration for which all requests are paused after a 429 response.
+constexpr double kRateLimitedPauseS = 0.2;
 
 }  // namespace
 
-Client::Client(const Endpoint& at, RateLimiters& limiters, double read_timeout_s)
-    : http_(at.host, at.port), limiters_(limiters) {
+Client::Client(const Endpoint& endpoint, RateLimiters& limiters, double read_timeout_s)
+    : http_(endpoint.host, endpoint.port), limiters_(limiters) {
   http_.set_keep_alive(true);
   http_.set_tcp_nodelay(true);
   http_.set_url_encode(false);
@@ -37,14 +37,14 @@
 
 // ---------------------------------------------------------------- requests
 
-Client::Answer Client::call(const Request& request, double max_wait_s) {
+Client::Response Client::call(const Request& request, double max_wait_s) {
   if (!limiters_.requests.take(1, max_wait_s)) return {};
   if (request.changes > 0 && !limiters_.writes.take(request.changes, max_wait_s)) return {};
   return send(request);
 }
 
-Client::Answer Client::call_without_waiting(const Request& request) {
-  limiters_.requests.take_first(1);
+Client::Response Client::call_without_waiting(const Request& request) {
+  limiters_.requests.take_without_waiting(1);
   return send(request);
 }
 
@@ -67,55 +67,57 @@
                     std::string(wire::kContentType));
 }
 
-Client::Answer Client::send(const Request& request) {
-  Answer answer;
+Client::Response Client::send(const Request& request) {
+  Response response;
   const httplib::Result result = send_http(request);
   if (!result) {
-    // Without a connection nothing was sent; after any other error it may have been executed.
-    answer.may_have_executed = result.error() != httplib::Error::Connection &&
-                               result.error() != httplib::Error::ConnectionTimeout;
-    spdlog::debug("state: {} {}: {}", name(request.method), request.path,
+    // If connecting failed, nothing was sent. After any other error the request may have been
+    // executed.
+    response.may_have_executed = result.error() != httplib::Error::Connection &&
+                                 result.error() != httplib::Error::ConnectionTimeout;
+    spdlog::debug("state: {} {} failed: {}", name(request.method), request.path,
                   httplib::to_string(result.error()));
-    return answer;
+    return response;
   }
-  answer.status = result->status;
-  answer.may_have_executed = true;
+  response.status = result->status;
+  response.may_have_executed = true;
   if (!result->body.empty())
-    if (auto body = wire::unpack(result->body)) answer.body = std::move(*body);
-  if (answer.status == http_status::kTooManyRequests) {
+    if (auto body = wire::unpack(result->body)) response.body = std::move(*body);
+  if (response.status == http_status::kTooManyRequests) {
     on_too_many_requests(request);
-  } else if (answer.status != http_status::kOk && answer.status != http_status::kConflict &&
-             answer.status != http_status::kNotFound) {
-    spdlog::debug("state: {} {}: {}", name(request.method), request.path, answer.status);
+  } else if (response.status != http_status::kOk && response.status != http_status::kConflict &&
+             response.status != http_status::kNotFound) {
+    spdlog::debug("state: {} {} returned status {}", name(request.method), request.path,
+                  response.status);
   }
-  return answer;
+  return response;
 }
 
 void Client::on_too_many_requests(const Request& request) {
-  limiters_.requests.penalty(kRefusalPenaltyS);
+  limiters_.requests.pause_for(kRateLimitedPauseS);
   if (request.changes > 0) {
     limiters_.on_write_refused();
-    limiters_.writes.penalty(kRefusalPenaltyS);
+    limiters_.writes.pause_for(kRateLimitedPauseS);
   }
-  spdlog::warn("state: {} {}: over the rate limit", name(request.method), request.path);
+  spdlog::warn("state: {} {} exceeded the rate limit (429)", name(request.method), request.path);
 }
 
 // ---------------------------------------------------------------- transactions
 
-ledger::Result Client::commit_result(const Answer& answer) {
+ledger::Result Client::commit_result(const Response& response) {
   ledger::Result result;
-  if (answer.status == http_status::kOk) {
-    const auto revision = wire::parse_revision(answer.body);
+  if (response.status == http_status::kOk) {
+    const auto revision = wire::parse_revision(response.body);
     result.outcome = revision ? Outcome::applied : Outcome::unknown;
     result.revision = revision.value_or(0);
-  } else if (answer.status == http_status::kConflict) {
+  } else if (response.status == http_status::kConflict) {
     result.outcome = Outcome::conflict;
-    result.failed = wire::parse_failed_keys(answer.body);
-  } else if (answer.status == http_status::kBadRequest) {
+    result.failed = wire::parse_failed_keys(response.body);
+  } else if (response.status == http_status::kBadRequest) {
     result.outcome = Outcome::rejected;
-    spdlog::warn("state: a transaction is too large or malformed, or its lease is over");
-  } else if (answer.status != http_status::kNone || !answer.may_have_executed) {
-    result.outcome = Outcome::refused;  // 503, 429, or nothing was sent
+    spdlog::warn("state: transaction rejected (400): too large, malformed, or its lease has ended");
+  } else if (response.status != http_status::kNone || !response.may_have_executed) {
+    result.outcome = Outcome::refused;  // 503 or 429, or nothing was sent
   }
   return result;
 }
@@ -146,32 +148,33 @@
 // ---------------------------------------------------------------- reads
 
 Client::Read Client::get(const std::string& key, double max_wait_s) {
-  const Answer answer = call({Method::get, wire::key_path(key), {}, 0}, max_wait_s);
+  const Response response = call({Method::get, wire::key_path(key), {}, 0}, max_wait_s);
   Read read;
-  if (answer.status == http_status::kOk) read.row = wire::parse_row(answer.body);
-  read.ok = read.row || answer.status == http_status::kNotFound;
+  if (response.status == http_status::kOk) read.row = wire::parse_row(response.body);
+  read.ok = read.row || response.status == http_status::kNotFound;
   return read;
 }
 
 std::optional<wire::Rows> Client::range(const std::string& prefix, const std::string& after,
                                         int max_count) {
-  const Answer answer =
+  const Response response =
       call({Method::get, wire::range_path(prefix, after, max_count), {}, 0}, kReadMaxWaitS);
-  if (answer.status != http_status::kOk) return std::nullopt;
-  auto rows = wire::parse_rows(answer.body);
-  // The caller goes on from the last row: an answer that does not go on would never end.
+  if (response.status != http_status::kOk) return std::nullopt;
+  auto rows = wire::parse_rows(response.body);
+  // The caller continues after the last row. A response that does not advance past `after` would
+  // make it loop for ever.
   if (rows && !rows->rows.empty() && rows->rows.back().key <= after) return std::nullopt;
   return rows;
 }
 
 Client::Watch Client::watch(const std::string& prefix, uint64_t after, int hold_ms) {
-  const Answer answer =
+  const Response response =
       call({Method::get, wire::watch_path(prefix, after, hold_ms), {}, 0}, kReadMaxWaitS);
   Watch watch;
-  if (answer.status == http_status::kGone) {
+  if (response.status == http_status::kGone) {
     watch.kind = Watch::Kind::too_old;
-  } else if (answer.status == http_status::kOk) {
-    if (auto rows = wire::parse_events(answer.body)) {
+  } else if (response.status == http_status::kOk) {
+    if (auto rows = wire::parse_events(response.body)) {
       watch.kind = Watch::Kind::events;
       watch.rows = std::move(*rows);
     }
@@ -182,22 +185,22 @@
 // ---------------------------------------------------------------- leases
 
 std::optional<uint64_t> Client::grant(double ttl_s) {
-  const Answer answer =
+  const Response response =
       call_without_waiting({Method::post, wire::kLeasesPath, wire::encode_lease_request(ttl_s), 0});
-  if (answer.status != http_status::kOk) return std::nullopt;
-  return wire::parse_lease_id(answer.body);
+  if (response.status != http_status::kOk) return std::nullopt;
+  return wire::parse_lease_id(response.body);
 }
 
 Client::Renewal Client::renew(uint64_t lease) {
-  const Answer answer =
+  const Response response =
       call_without_waiting({Method::post, wire::renewal_path(lease), json::object(), 0});
-  if (answer.status == http_status::kOk) return Renewal::kept;
-  if (answer.status == http_status::kNotFound) return Renewal::ended;
+  if (response.status == http_status::kOk) return Renewal::kept;
+  if (response.status == http_status::kNotFound) return Renewal::ended;
   return Renewal::unknown;
 }
 
-void Client::drop(uint64_t lease) {
-  call({Method::remove, wire::lease_path(lease), {}, 0}, kDropMaxWaitS);
+void Client::revoke(uint64_t lease) {
+  call({Method::remove, wire::lease_path(lease), {}, 0}, kRevokeMaxWaitS);
 }
 
 }  // namespace rookdyke::state
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -1,8 +1,8 @@
 #pragma once
-// The state service's client: transactions, reads, watches and leases over one kept-open
-// connection. For one thread at a time; the daemon's loops own one each, and the threads that serve
-// users borrow theirs from a ConnectionPool. Every call has timeouts for connecting, reading and
-// writing, and waits for this replica's share of the rate limits. No function throws.
+// Client of the state service: transactions, reads, watches and leases over one keep-alive
+// connection. Each of the daemon's loops owns a client; the threads that serve user requests borrow
+// one from a ConnectionPool. Every call has connect, read and write timeouts and is limited to this
+// controller's share of the rate limits. No function throws.
 
 #include <httplib.h>
 
@@ -18,72 +18,76 @@
 
 namespace rookdyke::state {
 
+// Not thread-safe.
 class Client {
  public:
   // The limiters must outlive this object.
-  Client(const Endpoint& at, RateLimiters& limiters, double read_timeout_s = 1.5);
+  Client(const Endpoint& endpoint, RateLimiters& limiters, double read_timeout_s = 1.5);
 
-  // Executes a transaction. max_wait_s bounds the wait for the rate limits only.
+  // Executes a transaction. `max_wait_s` limits only the time spent waiting for the rate limits.
   ledger::Result commit(const ledger::Transaction& transaction, double max_wait_s);
-  // As commit(), for a transaction of which an earlier copy may have been executed. A conflict may
-  // come from that copy: then the first row that it writes carries the transaction's id, and the
-  // outcome is `applied`.
+  // Like commit(), for a transaction that was sent before with an indeterminate outcome. A conflict
+  // may be caused by the earlier copy: if the first row that the transaction writes holds the
+  // transaction's id, the earlier copy was executed and the outcome is `applied`.
   ledger::Result commit_repeated(const ledger::Transaction& transaction, double max_wait_s);
 
-  // One key.
+  // Result of reading one key.
   struct Read {
-    bool ok = false;               // it was answered
-    std::optional<wire::Row> row;  // empty: there is no such key
+    bool ok = false;               // the read succeeded, whether or not the key exists
+    std::optional<wire::Row> row;  // empty if the key does not exist
   };
   Read get(const std::string& key, double max_wait_s);
-  // The keys under a prefix that follow `after`, max_count at most. Empty: it failed.
+  // Returns up to `max_count` rows whose keys have the prefix and sort after `after`, or empty if
+  // the request failed.
   std::optional<wire::Rows> range(const std::string& prefix, const std::string& after,
                                   int max_count);
 
-  // The changes under a prefix after a revision.
+  // Result of a watch.
   struct Watch {
     enum class Kind {
-      events,   // rows holds them
-      too_old,  // they are not kept that long any more: the ledger has to be read again
+      events,   // `rows` holds the changes
+      too_old,  // the changes since the revision are no longer stored; reload the ledger
       failed
     } kind = Kind::failed;
     wire::Rows rows;
   };
-  // Waits up to hold_ms for the first.
+  // Returns the changes under the prefix that were made after the revision `after`. If there are
+  // none, the state service waits up to `hold_ms` for the first one.
   Watch watch(const std::string& prefix, uint64_t after, int hold_ms);
 
-  // Leases. These calls go before any others that wait for the rate limits, except drop().
-  std::optional<uint64_t> grant(double ttl_s);  // empty: it failed
+  // Requests a lease and returns its id, or empty if that failed. grant() and renew() do not wait
+  // for the rate limits, since a delayed renewal could cost the leader its lease.
+  std::optional<uint64_t> grant(double ttl_s);
   enum class Renewal {
     kept,
-    ended,   // the lease is over
-    unknown  // it may be renewed or not
+    ended,   // the lease has ended
+    unknown  // indeterminate: the lease may or may not have been renewed
   };
   Renewal renew(uint64_t lease);
-  // Ends a lease early, if the state service can be reached.
-  void drop(uint64_t lease);
+  // Ends a lease before it expires. Does nothing if the state service cannot be reached.
+  void revoke(uint64_t lease);
 
  private:
   enum class Method { get, post, remove };
-  static const char* name(Method method);  // for the log
+  static const char* name(Method method);  // for log messages
   struct Request {
     Method method = Method::get;
     std::string path;
     std::optional<nlohmann::json> body;
-    double changes = 0;  // how many it asks for
+    double changes = 0;  // number of row changes, counted against the write rate limit
   };
-  struct Answer {
-    int status = 0;                  // HTTP; 0: none
-    bool may_have_executed = false;  // the request reached the state service, or may have
+  struct Response {
+    int status = 0;                  // HTTP status; 0 if there was no response
+    bool may_have_executed = false;  // the request may have reached the state service
     nlohmann::json body;
   };
-  Answer call(const Request& request, double max_wait_s);
-  // For requests about leases: does not wait for the rate limits.
-  Answer call_without_waiting(const Request& request);
-  Answer send(const Request& request);
+  Response call(const Request& request, double max_wait_s);
+  // For lease requests: counts against the request rate limit, but does not wait for it.
+  Response call_without_waiting(const Request& request);
+  Response send(const Request& request);
   httplib::Result send_http(const Request& request);
   void on_too_many_requests(const Request& request);
-  static ledger::Result commit_result(const Answer& answer);
+  static ledger::Result commit_result(const Response& response);
 
   httplib::Client http_;
   RateLimiters& limiters_;
--- a/src/state/connection_pool.h
+++ b/src/state/connection_pool.h
@@ -1,6 +1,7 @@
 #pragma once
-// A bounded pool of connections to the state service, shared by the threads that serve users'
-// requests. A state::Client is for one thread at a time; the pool lends each to one borrower.
+// A bounded pool of connections to the state service, shared by the threads that serve user
+// requests. Each connection is lent to one thread at a time, since state::Client is not
+// thread-safe.
 
 #include <condition_variable>
 #include <cstddef>
@@ -13,16 +14,15 @@
 
 namespace rookdyke::state {
 
-// Opens connections as they are needed, `max_connections` at most, and keeps them for the next
-// borrower. Thread-safe: the pool has a mutex of its own; while holding it, it takes no other and
-// sends nothing.
+// Opens up to `max_connections` connections on demand and keeps them open for reuse. Thread-safe:
+// the pool acquires no other mutex and does no network I/O while it holds its own.
 class ConnectionPool {
  public:
-  // A borrowed connection, returned to the pool by the destructor. Empty if none became free in
-  // time. For one thread; must not outlive its pool.
+  // A borrowed connection, returned to the pool by the destructor. Empty if no connection became
+  // available before the timeout. Not thread-safe; must not outlive its pool.
   class Connection {
    public:
-    // Waits `timeout_s` at most while all connections are borrowed.
+    // Waits up to `timeout_s` if all connections are borrowed.
     Connection(ConnectionPool& pool, double timeout_s);
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
@@ -36,22 +36,22 @@
     std::unique_ptr<Client> client_;
   };
 
-  // `limiters` must outlive the pool; all its connections share them.
-  ConnectionPool(Endpoint state, RateLimiters& limiters, size_t max_connections);
+  // All connections share `limiters`, which must outlive the pool.
+  ConnectionPool(Endpoint endpoint, RateLimiters& limiters, size_t max_connections);
 
  private:
-  // An idle connection, or a new one; at the limit it waits for one to be released. Null: none was
-  // in time.
+  // Returns an idle connection, or a new one if there is none. If `max_connections` are open, waits
+  // for one to be released; returns null on timeout.
   std::unique_ptr<Client> acquire(double timeout_s);
   void release(std::unique_ptr<Client> client);
 
-  const Endpoint state_;
+  const Endpoint endpoint_;
   RateLimiters& limiters_;
   const size_t max_connections_;
-  std::mutex mutex_;  // guards what follows
-  std::condition_variable released_;
-  std::vector<std::unique_ptr<Client>> idle_;
-  size_t opened_ = 0;
+  std::mutex mutex_;  // guards the members below
+  std::condition_variable client_released_;
+  std::vector<std::unique_ptr<Client>> idle_clients_;
+  size_t open_count_ = 0;
 };
 
 }  // namespace rookdyke::state
--- a/src/state/rate_limiters.cpp
+++ b/src/state/rate_limiters.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Siblings report every second that they see the limit lowered; a report counts for so long.
+// Duration for which a peer controller's report of a lowered limit is valid. Peer controllers
+// report every second.
 constexpr double kSiblingReportValidS = 3;
 
 }  // namespace
@@ -42,9 +43,9 @@
   const bool lowered = write_limit_.is_lowered(now) || sibling_sees_it;
   const double write_rps = lowered ? std::min(write_rps_, next_write_rps_) : write_rps_;
   if (write_rps != current_write_rps_) {
-    writes.set_total(write_rps);
+    writes.set_total_rate(write_rps);
     current_write_rps_ = write_rps;
-    spdlog::info("state: {} changes a second from now on", write_rps);
+    spdlog::info("state: write rate limit is now {} changes per second", write_rps);
   }
   return write_rps;
 }
--- a/src/state/rate_limiters.h
+++ b/src/state/rate_limiters.h
@@ -1,7 +1,8 @@
 #pragma once
-// What all clients of a replica may ask of the state service: its share of requests and of changes
-// a second. The limit of changes may be lowered by the state service at a moment that it does not
-// announce; refusals, here and at siblings, show it.
+// Rate limiters shared by all state service clients of a controller: its share of the deployment's
+// requests per second and changes per second. The state service may lower the limit of changes at
+// an unannounced time; this is detected from 429 responses to this controller and to its peer
+// controllers.
 
 #include <mutex>
 #include <optional>
@@ -14,22 +15,23 @@
 // Thread-safe.
 class RateLimiters {
  public:
-  // Limits of the whole deployment, a second. next_write_rps: what the limit of changes will be
-  // from some moment on; empty: it stays.
+  // `rps` and `write_rps` are the limits of requests and changes per second for the whole
+  // deployment. `next_write_rps` is the limit of changes after the state service has lowered it;
+  // empty if it will not change.
   RateLimiters(double rps, double write_rps, std::optional<double> next_write_rps = std::nullopt)
       : requests(rps),
         writes(write_rps),
         write_rps_(write_rps),
         next_write_rps_(next_write_rps.value_or(write_rps)) {}
 
-  // The state service refused a change for its rate.
+  // To be called when the state service has rejected a write because of its rate (429).
   void on_write_refused();
-  // A sibling reports that the same has just happened to it.
+  // To be called when a peer controller reports that it sees the limit lowered.
   void on_sibling_refused();
-  // Whether this replica's own refusals show that the limit of changes is lowered.
+  // Whether this controller's own 429 responses indicate that the limit of changes is lowered.
   bool sees_lowered_write_rate();
-  // Applies what is known of the limit of changes by now, and returns it. To be called about every
-  // second.
+  // Applies the limit of changes that is currently assumed, lowered or not, and returns it. To be
+  // called about once per second.
   double update_write_rate();
 
   net::RateLimiter requests;
@@ -40,9 +42,9 @@
 
   const double write_rps_;
   const double next_write_rps_;
-  std::mutex mutex_;  // guards what follows
+  std::mutex mutex_;  // guards the members below
   net::RateLimit write_limit_;
-  double sibling_refused_at_ = -1e9;  // seconds of steady_now()
+  double sibling_refused_at_ = -1e9;  // in seconds of steady_now()
   double current_write_rps_ = write_rps_;
 };
 
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -419,7 +419,7 @@
     EXPECT_EQ(client.rent(request, {}).machines, std::vector<std::string>{"m-1"});
     // A list that says it goes on, and never does, is no list.
     answer = {{"crofts", {{{"id", "m-1"}}}}, {"truncated", true}};
-    EXPECT_FALSE(client.list());
+    EXPECT_FALSE(client.list_machines());
   }
   server.halt();
 }
--- a/tests/rate_limit_test.cpp
+++ b/tests/rate_limit_test.cpp
@@ -43,14 +43,14 @@
 TEST(RateLimiter, FollowsTheLimitDownAndUp) {
   RateLimiter limiter(100);
   EXPECT_TRUE(limiter.take(1, 0));
-  limiter.set_total(10);
+  limiter.set_total_rate(10);
   // A second's worth of the lower limit is left at most.
   int taken = 0;
   while (taken < 100 && limiter.take(1, 0)) ++taken;
   EXPECT_LE(taken, 12);
-  EXPECT_GT(limiter.wait_for(5), 0.3);
-  limiter.set_total(1000);
-  EXPECT_LT(limiter.wait_for(5), 0.1);
+  EXPECT_GT(limiter.wait_time_s(5), 0.3);
+  limiter.set_total_rate(1000);
+  EXPECT_LT(limiter.wait_time_s(5), 0.1);
 }
 
 // What waits for its turn waits a little longer.
@@ -58,8 +58,8 @@
   RateLimiter limiter(1);
   while (limiter.take(1, 0)) {
   }
-  limiter.take_first(1);
-  EXPECT_GT(limiter.wait_for(1), 0.9);
+  limiter.take_without_waiting(1);
+  EXPECT_GT(limiter.wait_time_s(1), 0.9);
 }
 
 }  // namespace
