--- a/src/config/number_settings.h
+++ b/src/config/number_settings.h
@@ -1,6 +1,7 @@
 #pragma once
 // Descriptions of numeric settings: the key in the file, the member that is set, and the range of
-// valid values. settings_file.cpp and ini_file.cpp have tables of them.
+// valid values. settings_file.cpp and ini_file.cpp have tables of them; no other code uses the
+// keys.
 
 #include <cstddef>
 #include <type_traits>
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -92,7 +92,8 @@
   std::thread listener_thread_;
   std::thread watcher_thread_;
   std::mutex mutex_;
-  std::unordered_map<int, Connection> idle_connections_;  // by file descriptor; guarded by mutex_
+  // By file descriptor; watched by epoll_fd_, guarded by mutex_.
+  std::unordered_map<int, Connection> idle_connections_;
   std::atomic<size_t> open_connections_{0};
   std::atomic<bool> halting_{false};
   int epoll_fd_ = -1;
