--- a/tests/scheduler/admission_test.cpp
+++ b/tests/scheduler/admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission: jobs that can never run are told from those that can.
+// Admission: jobs that can never run are rejected, all others are admitted.
 
 #include "admission/admission.h"
 
@@ -30,89 +30,89 @@
     job.tasks = 4;
     job.per_task = {2, 0, 4};
   }
-  bool runs() const { return !rejection_reason(job, types, teams, {"a", "b"}); }
+  bool is_admitted() const { return !rejection_reason(job, types, teams, {"a", "b"}); }
 
   std::vector<MachineType> types;
   std::vector<TeamQuota> teams;
   JobSpec job;
 };
 
-TEST_F(Admission, TeamsAndSizes) {
-  EXPECT_TRUE(runs());
+TEST_F(Admission, ChecksTeamTaskSizeAndMachineTypes) {
+  EXPECT_TRUE(is_admitted());
   job.team = "nobody";
-  EXPECT_FALSE(runs());
+  EXPECT_FALSE(is_admitted());
   job.team = "t";
   job.per_task.gpus = 1;
-  EXPECT_TRUE(runs());  // on the large ones
+  EXPECT_TRUE(is_admitted());  // fits the large type
   job.types = {"small"};
-  EXPECT_FALSE(runs());
+  EXPECT_FALSE(is_admitted());
   job.types = {"small", "large"};
-  EXPECT_TRUE(runs());
-  job.types = {"round"};
-  EXPECT_FALSE(runs());
+  EXPECT_TRUE(is_admitted());
+  job.types = {"round"};  // an unknown type
+  EXPECT_FALSE(is_admitted());
   job.types.clear();
   job.per_task = {17, 0, 1};
-  EXPECT_FALSE(runs());
+  EXPECT_FALSE(is_admitted());
 }
 
-TEST_F(Admission, AnArrayNeedsTheLimitForOneTaskAGangForAll) {
+TEST_F(Admission, ATeamLimitMustFitOneTaskOfAnArrayOrAllOfAGang) {
   job.tasks = 100'000;
-  EXPECT_TRUE(runs());
+  EXPECT_TRUE(is_admitted());
   job.per_task.cpus = 8;
-  EXPECT_TRUE(runs());
+  EXPECT_TRUE(is_admitted());
   job.per_task.cpus = 8.001;
-  EXPECT_FALSE(runs());
+  EXPECT_FALSE(is_admitted());
   job.shape = JobShape::gang;
   job.tasks = 4;
   job.per_task.cpus = 2;
-  EXPECT_TRUE(runs());
+  EXPECT_TRUE(is_admitted());
   job.tasks = 5;
-  EXPECT_FALSE(runs());
-  job.team = "free";  // it has no limit
-  EXPECT_TRUE(runs());
+  EXPECT_FALSE(is_admitted());
+  job.team = "free";  // a team without a limit
+  EXPECT_TRUE(is_admitted());
 }
 
-TEST_F(Admission, AZoneHasToOfferATypeThatHoldsATask) {
+TEST_F(Admission, AZoneMustOfferATypeThatFitsATask) {
   for (const char* zone : {"a", "b"}) {
     job.zone = zone;
-    EXPECT_TRUE(runs());
+    EXPECT_TRUE(is_admitted());
   }
   job.zone = "c";
-  EXPECT_FALSE(runs());
+  EXPECT_FALSE(is_admitted());
   job.zone = "a";
   job.per_task.gpus = 1;
-  EXPECT_FALSE(runs());  // the large ones are in b only
+  EXPECT_FALSE(is_admitted());  // the large type is offered in zone b only
   job.zone = "b";
-  EXPECT_TRUE(runs());
-  types[1].zones.clear();  // not known: any zone of the deployment
+  EXPECT_TRUE(is_admitted());
+  types[1].zones.clear();  // unknown zones: all zones of the deployment are assumed
   job.zone = "a";
-  EXPECT_TRUE(runs());
+  EXPECT_TRUE(is_admitted());
   EXPECT_FALSE(rejection_reason(job, types, teams, {}));
 }
 
 TEST_F(Admission, ASpreadGangNeedsTwoZones) {
   job.shape = JobShape::gang;
   job.spread_zones = true;
-  EXPECT_TRUE(runs());
+  EXPECT_TRUE(is_admitted());
   job.single_zone = true;
-  EXPECT_FALSE(runs());
+  EXPECT_FALSE(is_admitted());
   job.tasks = 1;
-  EXPECT_TRUE(runs());
+  EXPECT_TRUE(is_admitted());
   job.tasks = 2;
   job.single_zone = false;
   job.zone = "a";
-  EXPECT_FALSE(runs());
+  EXPECT_FALSE(is_admitted());
   job.zone.clear();
   job.per_task.gpus = 1;
-  EXPECT_FALSE(runs());  // the large ones are in b only
-  // An array's tasks may run one after the other, each by itself.
+  EXPECT_FALSE(is_admitted());  // the large type is offered in zone b only
+  // The tasks of an array may run one after the other, so spreading does not restrict it.
   job.shape = JobShape::array;
   job.single_zone = true;
   job.zone = "b";
-  EXPECT_TRUE(runs());
+  EXPECT_TRUE(is_admitted());
 }
 
-TEST(ServiceAdmission, AllReplicasTogetherHaveToFitTheTeamsLimit) {
+TEST(ServiceAdmission, AllReplicasTogetherMustFitTheTeamsLimit) {
   JobSpec job;
   job.team = "team";
   job.shape = JobShape::service;
--- a/tests/scheduler/faulty_jobs_test.cpp
+++ b/tests/scheduler/faulty_jobs_test.cpp
@@ -1,4 +1,5 @@
-// A job that fails everywhere is told from a machine that fails everything.
+// Distinguishing a faulty job, which fails on every machine, from a faulty machine, on which the
+// tasks of every job fail.
 
 #include <gtest/gtest.h>
 
@@ -15,10 +16,10 @@
   add_machines(6);
   submit("wk-000001", 48, 4, -2);
   run_until(60);
-  const size_t at_first = starts["wk-000001"];
-  submit("wk-000002", 48, 4, -2);  // errors of two jobs in a row terminate a machine otherwise
+  const size_t initial_starts = starts["wk-000001"];
+  submit("wk-000002", 48, 4, -2);  // two failing jobs in a row would cordon a machine
   run_until(300);
-  EXPECT_GE(starts["wk-000001"], at_first + 3);  // its mistake may be mended any time
+  EXPECT_GE(starts["wk-000001"], initial_starts + 3);  // retried: the cause may be fixed meanwhile
   for (const auto& m : scheduler.machines()) {
     EXPECT_FALSE(m->cordoned) << m->name;
     EXPECT_EQ(m->state, MachineState::ready) << m->name;
@@ -31,31 +32,32 @@
   for (const char* id : {"wk-000001", "wk-000002"}) EXPECT_FALSE(scheduler.find_job(id));
 }
 
-// Once it is known, one task shows whether it still fails, and the next one waits for its back-off.
-TEST_F(SmallDeployment, AFaultyArrayIsTriedWithOneTaskAtATime) {
+// Once an array is known to be faulty, a single task tests whether it still fails, and the next
+// task waits for the back-off.
+TEST_F(SmallDeployment, AFaultyArrayRunsOneTaskAtATime) {
   add_machines(6);
   submit("wk-000001", 48, 4, -2);
   run_until(60);
-  const size_t at_first = starts["wk-000001"];
-  size_t most = 0;
+  const size_t initial_starts = starts["wk-000001"];
+  size_t peak_running = 0;
   while (now < 300) {
     run_until(now + 1);
-    most = std::max(most, running("wk-000001"));
+    peak_running = std::max(peak_running, running("wk-000001"));
   }
-  EXPECT_EQ(most, 1u);
-  EXPECT_LE(starts["wk-000001"] - at_first, 5u);  // the back-off is a minute by then
+  EXPECT_EQ(peak_running, 1u);
+  EXPECT_LE(starts["wk-000001"] - initial_starts, 5u);  // the back-off has reached one minute
 }
 
-TEST_F(SmallDeployment, AFaultyArrayAsksForOneTasksRoom) {
+TEST_F(SmallDeployment, AFaultyArrayAddsDemandForOneTaskOnly) {
   add_machines(6);
   submit("wk-000001", 48, 4, -2);
   run_until(2);
-  EXPECT_GE(scheduler.summary(now).target, 40);  // not known yet
+  EXPECT_GE(scheduler.summary(now).target, 40);  // the array is not known to be faulty yet
   run_until(180);
   EXPECT_LE(scheduler.summary(now).target, 2);
 }
 
-TEST_F(SmallDeployment, AFaultyArrayLeavesTheMachinesToOthers) {
+TEST_F(SmallDeployment, AFaultyArrayDoesNotBlockOtherJobs) {
   add_machines(6);
   submit("wk-000001", 48, 4, -2);
   run_until(60);
@@ -63,7 +65,7 @@
   run_until(64);
   EXPECT_GE(running("wk-000002"), 5u);
   run_until(80);
-  EXPECT_EQ(ends["wk-000002"], 6u);
+  EXPECT_EQ(completions["wk-000002"], 6u);
 }
 
 }  // namespace
--- a/tests/scheduler/job_states_test.cpp
+++ b/tests/scheduler/job_states_test.cpp
@@ -1,4 +1,4 @@
-// Jobs that are over stay over: final states, and rows that are seen late.
+// Finished jobs stay finished: terminal states, and job rows that arrive late.
 
 #include <gtest/gtest.h>
 
@@ -21,7 +21,7 @@
   EXPECT_TRUE(allowed(MachineState::draining, MachineState::ready));
 }
 
-// A copy of a job's row that comes after the job is over must not bring it back.
+// An older version of a job's row that arrives after the job has finished must not reopen it.
 TEST(Scheduler, AFinishedJobStaysFinished) {
   Scheduler scheduler = one_zone_scheduler();
   const CachedJob row = one_task_job(3);
@@ -36,7 +36,8 @@
   EXPECT_FALSE(scheduler.find_job("wk-000001"));
 }
 
-// A done job's row as it was when it was open, seen late: all of its tasks would run again.
+// A late copy of the row of a done job, from when the job was open. If it reopened the job, all
+// tasks would run again.
 TEST_F(SchedulerGuards, ADoneJobIsNotReopened) {
   scheduler.on_heartbeat(heartbeat(1, 1), 1);
   submit("wk-000001", 1);
--- a/tests/scheduler/lease_clock_test.cpp
+++ b/tests/scheduler/lease_clock_test.cpp
@@ -1,4 +1,4 @@
-// What a process knows of its lease after it was paused.
+// Validity of the leader lease after the process was suspended.
 
 #include "leadership/lease_clock.h"
 
@@ -7,22 +7,22 @@
 namespace rookdyke {
 namespace {
 
-TEST(LeaseClock, WhatWasKnownBeforeAStallIsVoid) {
+TEST(LeaseClock, AStallInvalidatesTheLeaseUntilTheNextRenewalAttempt) {
   LeaseClock clock(100);
   clock.on_renewed(100.1);
   EXPECT_TRUE(clock.lease_confirmed(100.5, 2.5));
   EXPECT_EQ(clock.detect_stall(100.6), 0);
   EXPECT_EQ(clock.detect_stall(101.5), 0);
-  // An outage: renewals fail, and the process runs throughout. The lease is unconfirmed, but not by
-  // a stall.
+  // An outage of the state service: renewals fail while the process keeps running. The lease
+  // expires but, without a stall, the leader may continue.
   clock.on_renewal_attempted(102);
   EXPECT_EQ(clock.detect_stall(102.4), 0);
   EXPECT_FALSE(clock.is_unexpired(103, 2.5));
   EXPECT_TRUE(clock.lease_confirmed(103, 2.5));
-  // The process is paused: nothing is sure until the lease has been asked for again.
+  // The process is suspended: the lease is unconfirmed until another renewal has been attempted.
   EXPECT_NEAR(clock.detect_stall(130), 27.6, 1e-9);
   EXPECT_FALSE(clock.lease_confirmed(130, 2.5));
-  clock.on_renewal_attempted(129);  // an answer to what was sent before it resumed
+  clock.on_renewal_attempted(129);  // outcome of a renewal that was sent before the process resumed
   EXPECT_FALSE(clock.lease_confirmed(130.1, 2.5));
   clock.on_renewal_attempted(130.05);
   EXPECT_TRUE(clock.lease_confirmed(130.2, 2.5));
--- a/tests/scheduler/lowered_limits_test.cpp
+++ b/tests/scheduler/lowered_limits_test.cpp
@@ -1,5 +1,5 @@
-// What was written under larger limits of the state service stays changeable once they are lowered,
-// and a leader that takes over in the middle of the change reads what is so.
+// Lowered limits of the state service: rows that were written under larger limits can still be
+// changed, and a leader that takes over while pages are being split reads every attempt.
 
 #include <gtest/gtest.h>
 
@@ -22,16 +22,16 @@
 using ledger::Outcome;
 using nlohmann::json;
 
-constexpr const char* kSmall = "wk-000001";
-constexpr const char* kArray = "wk-000002";
-constexpr uint32_t kSmallTasks = 40;
-constexpr uint32_t kTasks = 300;
-constexpr uint32_t kPer = 249;  // as version 0.1 lays out chunks for values of 8 KiB
+constexpr const char* kSmallJob = "wk-000001";
+constexpr const char* kLargeJob = "wk-000002";
+constexpr uint32_t kSmallJobTasks = 40;
+constexpr uint32_t kLargeJobTasks = 300;
+constexpr uint32_t kTasksPerChunk = 249;  // in version 0.1 with values of 8 KiB
 
 using Task = std::pair<std::string, uint32_t>;
 
-// A leader of a ledger with two arrays in one page, each of whose tasks runs on a machine of its
-// own. Rows that are committed are kept as the state service would.
+// A leader and a ledger with two arrays in one page. Each task runs on its own machine. `rows`
+// stands in for the state service: it keeps the committed rows.
 class LoweredLimits : public testing::Test {
  protected:
   LoweredLimits() {
@@ -43,8 +43,8 @@
     next.txn_ops = 4;
     settings.next_limits = next;
     ledger::Page page;
-    add_job(kSmall, kSmallTasks, page);
-    add_job(kArray, kTasks, page);
+    add_job(kSmallJob, kSmallJobTasks, page);
+    add_job(kLargeJob, kLargeJobTasks, page);
     rows[ledger::page_key(0)] = {ledger::encode(page), 4};
     scheduler = leader();
   }
@@ -52,31 +52,31 @@
   void add_job(const std::string& id, uint32_t tasks, ledger::Page& page) {
     ledger::JobRow row;
     row.tasks = tasks;
-    row.chunk_size = kPer;
+    row.chunk_size = kTasksPerChunk;
     row.spec = JobSpec{};
     row.spec->team = "team";
     row.spec->per_task = {1, 1, 1};
     rows[ledger::job_key(id)] = {ledger::encode(row), 3};
-    for (uint32_t n = 0; n * kPer < tasks; ++n) {
+    for (uint32_t n = 0; n * kTasksPerChunk < tasks; ++n) {
       ledger::PageEntry entry;
       entry.job = id;
       entry.n = n;
       entry.chunk.highest_attempt = 1;
-      for (uint32_t t = n * kPer; t < std::min(tasks, (n + 1) * kPer); ++t)
+      for (uint32_t t = n * kTasksPerChunk; t < std::min(tasks, (n + 1) * kTasksPerChunk); ++t)
         entry.chunk.live.push_back({t, 1, machine({id, t}), 1});
       page.entries.push_back(entry);
     }
   }
 
   static std::string machine(const Task& task) {
-    return "m-" + std::to_string((task.first == kSmall ? 2000 : 1000) + task.second);
+    return "m-" + std::to_string((task.first == kSmallJob ? 2000 : 1000) + task.second);
   }
 
-  // A leader that has just read the ledger, pages in that order.
-  std::unique_ptr<Scheduler> leader(bool backwards = false) const {
+  // A leader that has just loaded the ledger, in ascending or descending order of keys.
+  std::unique_ptr<Scheduler> leader(bool descending = false) const {
     LedgerCache ledger_cache;
     std::vector<std::pair<std::string, std::pair<json, uint64_t>>> order(rows.begin(), rows.end());
-    if (backwards) std::reverse(order.begin(), order.end());
+    if (descending) std::reverse(order.begin(), order.end());
     for (const auto& [key, row] : order) ledger_cache.put(key, row.first, row.second);
     auto out = std::make_unique<Scheduler>(settings, std::vector<MachineType>{bare_type()},
                                            kLeaderToken, 0);
@@ -86,7 +86,7 @@
 
   static std::set<Task> attempts_of(const Scheduler& c) {
     std::set<Task> out;
-    for (const std::string id : {kSmall, kArray})
+    for (const std::string id : {kSmallJob, kLargeJob})
       if (const Job* job = c.find_job(id))
         for (const auto& [task, a] : job->attempts)
           if (a.state != AttemptState::ended) out.insert({id, task});
@@ -94,18 +94,18 @@
   }
 
   void end_task(const Task& task, ExitCause cause, double now) {
-    Heartbeat r = bare_heartbeat(0, 1, kLeaderToken);
-    r.machine = machine(task);
-    r.tasks.push_back({task.first, task.second, 1, TaskPhase::exited, cause, false});
-    scheduler->on_heartbeat(r, now);
+    Heartbeat heartbeat = bare_heartbeat(0, 1, kLeaderToken);
+    heartbeat.machine = machine(task);
+    heartbeat.tasks.push_back({task.first, task.second, 1, TaskPhase::exited, cause, false});
+    scheduler->on_heartbeat(heartbeat, now);
   }
 
-  // The tasks that an entry of a page is about.
+  // The tasks that an entry of a page covers.
   static std::set<Task> tasks_of(const json& entry) {
     const auto id = entry.at(0).get<std::string>();
-    const uint32_t tasks = id == kSmall ? kSmallTasks : kTasks;
-    uint32_t first = entry.at(1).get<uint32_t>() * kPer;
-    uint32_t end = std::min(tasks, first + kPer);
+    const uint32_t tasks = id == kSmallJob ? kSmallJobTasks : kLargeJobTasks;
+    uint32_t first = entry.at(1).get<uint32_t>() * kTasksPerChunk;
+    uint32_t end = std::min(tasks, first + kTasksPerChunk);
     if (entry.size() > 5) {
       first = entry.at(5).get<uint32_t>();
       end = first + entry.at(6).get<uint32_t>();
@@ -115,8 +115,8 @@
     return out;
   }
 
-  // The next write of a page; what else is to be written is written.
-  std::optional<PendingTransaction> page_write(double now) {
+  // The next write of a page. Other writes before it are applied.
+  std::optional<PendingTransaction> next_page_write(double now) {
     while (auto p = scheduler->next_transaction(now)) {
       if (p->txn.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
       scheduler->on_result(p->id, {Outcome::applied, ++revision, {}}, now);
@@ -124,8 +124,8 @@
     return std::nullopt;
   }
 
-  // Answers as the state service does since it lowered its limits.
-  void answer(const PendingTransaction& p, double now) {
+  // Responds as the state service does after its limits were lowered.
+  void respond(const PendingTransaction& p, double now) {
     ASSERT_LE(p.txn.changes.size(), settings.next_limits->txn_ops);
     bool large = false;
     for (const auto& c : p.txn.changes)
@@ -151,60 +151,60 @@
   uint64_t revision = 100;
   size_t rejected = 0;
   std::vector<std::string> written;
-  std::set<Task> rewritten;  // tasks that a page that was written now is about
+  std::set<Task> rewritten;  // tasks covered by pages written during the test
   std::unique_ptr<Scheduler> scheduler;
 };
 
-TEST_F(LoweredLimits, APageThatIsTooLargeIsSplitAndNoAttemptIsLostOrTakenForRunning) {
+TEST_F(LoweredLimits, AnOversizedPageIsSplitWithoutLosingAttemptsOrEnds) {
   std::set<Task> expected = attempts_of(*scheduler);
-  ASSERT_EQ(expected.size(), kTasks + kSmallTasks);
+  ASSERT_EQ(expected.size(), kLargeJobTasks + kSmallJobTasks);
   const std::set<Task> ended = {
-      {kSmall, 7}, {kArray, 3}, {kArray, 60}, {kArray, 200}, {kArray, 260}};
+      {kSmallJob, 7}, {kLargeJob, 3}, {kLargeJob, 60}, {kLargeJob, 200}, {kLargeJob, 260}};
   for (const Task& task : ended) {
     end_task(task, ExitCause::error, 1);
     expected.erase(task);
   }
-  std::set<Task> last_read;
+  std::set<Task> last_attempts;
   for (double now = 1; now < 40; now += 0.5)
     while (auto p = scheduler->next_transaction(now)) {
-      answer(*p, now);
-      // Whoever leads next reads each attempt that may run, wherever it lies by now, and each end
-      // as soon as it is written anywhere.
-      for (const bool backwards : {false, true}) {
-        const std::set<Task> read = last_read = attempts_of(*leader(backwards));
-        for (const Task& task : expected) EXPECT_TRUE(read.count(task)) << task.second;
+      respond(*p, now);
+      // After each write a new leader reads every attempt that may be running, in whichever page it
+      // is, and every end that has been written to any page.
+      for (const bool descending : {false, true}) {
+        const std::set<Task> attempts = last_attempts = attempts_of(*leader(descending));
+        for (const Task& task : expected) EXPECT_TRUE(attempts.count(task)) << task.second;
         for (const Task& task : ended)
-          EXPECT_EQ(read.count(task), rewritten.count(task) ? 0u : 1u) << task.second;
+          EXPECT_EQ(attempts.count(task), rewritten.count(task) ? 0u : 1u) << task.second;
       }
     }
-  EXPECT_EQ(rejected, 1u) << "the first one tells the limits";
-  EXPECT_EQ(last_read, expected) << "the ends are durable";
+  EXPECT_EQ(rejected, 1u) << "the first rejection reveals the lowered limits";
+  EXPECT_EQ(last_attempts, expected) << "all ends must be durable";
   EXPECT_TRUE(scheduler->uses_lowered_limits());
   EXPECT_GT(std::set<std::string>(written.begin(), written.end()).size(), 3u);
 }
 
-// What was moved is durable in the old page alone until the new ones are written.
-TEST_F(LoweredLimits, ThePageItselfIsWrittenAfterThoseThatTookItsChunks) {
+// Until the new pages are written, the old page is the only durable copy of the moved chunks.
+TEST_F(LoweredLimits, ASplitPageIsWrittenAfterThePagesThatReceiveItsChunks) {
   scheduler->apply_lowered_limits();
-  end_task({kArray, 3}, ExitCause::error, 1);
-  std::vector<PendingTransaction> under_way;
+  end_task({kLargeJob, 3}, ExitCause::error, 1);
+  std::vector<PendingTransaction> in_flight;
   for (double now = 1; now < 5; now += 0.5)
-    while (auto p = scheduler->next_transaction(now)) under_way.push_back(*p);
-  ASSERT_GE(under_way.size(), 3u);
-  for (const auto& p : under_way) {
+    while (auto p = scheduler->next_transaction(now)) in_flight.push_back(*p);
+  ASSERT_GE(in_flight.size(), 3u);
+  for (const auto& p : in_flight) {
     EXPECT_NE(p.txn.changes.at(0).key, ledger::page_key(0));
-    if (&p != &under_way.back()) answer(p, 5);
+    if (&p != &in_flight.back()) respond(p, 5);
   }
-  EXPECT_FALSE(page_write(6)) << "one of them is still under way";
-  answer(under_way.back(), 6);
-  const auto p = page_write(7);
+  EXPECT_FALSE(next_page_write(6)) << "one of the new pages is still being written";
+  respond(in_flight.back(), 6);
+  const auto p = next_page_write(7);
   ASSERT_TRUE(p);
   EXPECT_EQ(p->txn.changes.at(0).key, ledger::page_key(0));
 }
 
-TEST_F(LoweredLimits, BeforeThatNothingIsMoved) {
-  end_task({kArray, 3}, ExitCause::error, 1);
-  const auto p = page_write(10);
+TEST_F(LoweredLimits, NoChunkIsMovedBeforeTheLimitsAreLowered) {
+  end_task({kLargeJob, 3}, ExitCause::error, 1);
+  const auto p = next_page_write(10);
   ASSERT_TRUE(p);
   EXPECT_EQ(p->txn.changes.at(0).key, ledger::page_key(0));
   EXPECT_GT(ledger::value_size(p->txn.changes.at(0).value), 2048u);
@@ -212,38 +212,39 @@
   EXPECT_FALSE(scheduler->uses_lowered_limits());
 }
 
-// It is neither repeated for ever, nor is its outcome guessed.
-TEST_F(LoweredLimits, AnUnansweredTransactionThatIsRejectedLaterEndsTheLeadership) {
-  end_task({kArray, 3}, ExitCause::error, 1);
-  const auto first = page_write(10);
+// An earlier copy of the transaction may have been executed, so its outcome remains indeterminate.
+// The leader must neither resend it forever nor assume an outcome.
+TEST_F(LoweredLimits, AnIndeterminateTransactionThatIsRejectedWhenResentEndsLeadership) {
+  end_task({kLargeJob, 3}, ExitCause::error, 1);
+  const auto first = next_page_write(10);
   ASSERT_TRUE(first);
   scheduler->on_result(first->id, {Outcome::unknown, 0, {}}, 10);
-  const auto again = page_write(11);
-  ASSERT_TRUE(again);
-  EXPECT_EQ(again->id, first->id);
-  EXPECT_TRUE(again->repeat);
-  scheduler->on_result(again->id, {Outcome::rejected, 0, {}}, 11);
+  const auto resent = next_page_write(11);
+  ASSERT_TRUE(resent);
+  EXPECT_EQ(resent->id, first->id);
+  EXPECT_TRUE(resent->repeat);
+  scheduler->on_result(resent->id, {Outcome::rejected, 0, {}}, 11);
   EXPECT_TRUE(scheduler->has_lost_leadership());
-  EXPECT_TRUE(scheduler->uses_lowered_limits()) << "its siblings are to know it";
+  EXPECT_TRUE(scheduler->uses_lowered_limits()) << "its peer controllers must learn of it";
 }
 
-TEST_F(LoweredLimits, WhatIsNotTooLargeAndYetRejectedIsTriedAgainLater) {
+TEST_F(LoweredLimits, ATransactionRejectedWithinKnownLimitsIsRetriedLater) {
   settings.next_limits.reset();
   scheduler = leader();
-  end_task({kArray, 3}, ExitCause::error, 1);
-  const auto p = page_write(10);
+  end_task({kLargeJob, 3}, ExitCause::error, 1);
+  const auto p = next_page_write(10);
   ASSERT_TRUE(p);
   scheduler->on_result(p->id, {Outcome::rejected, 0, {}}, 10);
   EXPECT_FALSE(scheduler->uses_lowered_limits());
-  EXPECT_FALSE(page_write(10.5));
-  EXPECT_TRUE(page_write(20));
+  EXPECT_FALSE(next_page_write(10.5));
+  EXPECT_TRUE(next_page_write(20));
 }
 
-TEST_F(LoweredLimits, NewJobsAreLaidOutForTheLoweredSizesFromTheStart) {
-  const uint32_t per = ledger::tasks_per_chunk(settings.lasting_value_bytes());
-  EXPECT_LT(per, kPer);
+TEST_F(LoweredLimits, NewJobsUseTheLoweredLimitsFromTheStart) {
+  const uint32_t tasks_per_chunk = ledger::tasks_per_chunk(settings.lasting_value_bytes());
+  EXPECT_LT(tasks_per_chunk, kTasksPerChunk);
   CachedJob job = bare_job(200, {0.05, 0.01, 0.1}, 50);
-  job.row.chunk_size = per;
+  job.row.chunk_size = tasks_per_chunk;
   for (int i = 1; i <= 3; ++i) scheduler->on_heartbeat(bare_heartbeat(i, 1, kLeaderToken), 1);
   scheduler->on_job_row(job, "wk-000003", 1);
   for (int round = 0; round < 5; ++round) {
@@ -259,12 +260,13 @@
   EXPECT_EQ(scheduler->find_job("wk-000003")->attempts.size(), 200u);
 }
 
-// Between what runs and the limit there may be no room for starts in a page of before: they went
-// unwritten until enough had ended, for minutes (replay of rollout, docs/rounds.md, round 31).
-TEST_F(LoweredLimits, StartsThatDoNotFitTheirPageAreMadeRoomFor) {
+// A page from before the limits were lowered may be within the limit but have no free capacity for
+// new starts. Such starts were not written for minutes, until enough attempts in the page had ended
+// (seen in the replay of a rollout, docs/rounds.md, round 31).
+TEST_F(LoweredLimits, APageWithoutCapacityForNewStartsIsSplit) {
   rows.clear();
   ledger::Page page;
-  add_job(kArray, kPer, page);
+  add_job(kLargeJob, kTasksPerChunk, page);
   constexpr uint32_t kRunning = 85;
   page.entries.at(0).chunk.live.resize(kRunning);
   rows[ledger::page_key(0)] = {ledger::encode(page), 4};
@@ -273,15 +275,15 @@
   for (int i = 1; i <= 70; ++i) scheduler->on_heartbeat(bare_heartbeat(i, 1, kLeaderToken), 1);
   for (double now = 1; now < 6; now += 0.5) {
     scheduler->round(now);
-    while (auto p = scheduler->next_transaction(now)) answer(*p, now);
+    while (auto p = scheduler->next_transaction(now)) respond(*p, now);
   }
   EXPECT_EQ(rejected, 0u);
-  const Job& job = *scheduler->find_job(kArray);
-  EXPECT_EQ(job.attempts.size(), kPer);
+  const Job& job = *scheduler->find_job(kLargeJob);
+  EXPECT_EQ(job.attempts.size(), kTasksPerChunk);
   EXPECT_EQ(job.proposed, 0u);
 }
 
-TEST_F(LoweredLimits, ACancelledJobWithALongDescriptionKeepsWhatItsLimitsNeed) {
+TEST_F(LoweredLimits, AShortenedCancelledJobKeepsWhatQuotasAndZonesNeed) {
   ledger::JobRow row;
   row.status = ledger::JobStatus::cancelled;
   row.tasks = row.chunk_size = 5;
@@ -295,12 +297,12 @@
   ledger::shorten_cancelled(row, 2048);
   const json value = ledger::encode(row);
   EXPECT_LE(ledger::value_size(value), 2048u);
-  const auto back = ledger::decode_job(kArray, value);
-  ASSERT_TRUE(back && back->spec);
-  EXPECT_EQ(back->spec->team, "team");
-  EXPECT_EQ(back->spec->zone, "a");
-  EXPECT_TRUE(back->spec->spread_zones);
-  EXPECT_DOUBLE_EQ(back->spec->per_task.gpus, 2);
+  const auto decoded = ledger::decode_job(kLargeJob, value);
+  ASSERT_TRUE(decoded && decoded->spec);
+  EXPECT_EQ(decoded->spec->team, "team");
+  EXPECT_EQ(decoded->spec->zone, "a");
+  EXPECT_TRUE(decoded->spec->spread_zones);
+  EXPECT_DOUBLE_EQ(decoded->spec->per_task.gpus, 2);
 }
 
 }  // namespace
--- a/tests/scheduler/scheduler_fixtures.h
+++ b/tests/scheduler/scheduler_fixtures.h
@@ -1,6 +1,6 @@
 #pragma once
-// What tests of the scheduler by itself share: a small deployment, heartbeats written by hand, rows
-// of a ledger.
+// Builders shared by the scheduler tests: settings and a machine type of a small deployment, jobs,
+// heartbeats, and rows of the ledger.
 
 #include <string>
 
@@ -12,29 +12,29 @@
 inline constexpr uint64_t kLeaderToken = 7;
 
 inline Settings bare_settings() {
-  Settings s;
-  s.label = "n0";
-  s.zones = {"a"};
-  s.teams = {{"team", 0, 0, 0, 0}};
-  s.heartbeat_interval_s = 5;
-  s.lease_s = 29;
-  s.list_lag_s = 3;
-  return s;
+  Settings settings;
+  settings.label = "n0";
+  settings.zones = {"a"};
+  settings.teams = {{"team", 0, 0, 0, 0}};
+  settings.heartbeat_interval_s = 5;
+  settings.lease_s = 29;
+  settings.list_lag_s = 3;
+  return settings;
 }
 
 inline MachineType bare_type() {
-  MachineType t;
-  t.name = "box";
-  t.size = {16, 4, 64};
-  t.cache_gb = 100;
-  t.price = 4;
-  t.spot_price = 1;
-  t.boot_s = 50;
-  t.zones = {"a"};
-  return t;
+  MachineType type;
+  type.name = "box";
+  type.size = {16, 4, 64};
+  type.cache_gb = 100;
+  type.price = 4;
+  type.spot_price = 1;
+  type.boot_s = 50;
+  type.zones = {"a"};
+  return type;
 }
 
-// A job of the team "team" as its row tells, in a single chunk.
+// A job of team "team" as read from its row, with all tasks in a single chunk.
 inline CachedJob bare_job(uint32_t tasks, const Resources& per_task, uint64_t version) {
   CachedJob job;
   job.version = version;
@@ -46,15 +46,15 @@
 }
 
 inline Heartbeat bare_heartbeat(int machine, uint64_t seq, uint64_t fencing_token) {
-  Heartbeat r;
-  r.machine = "m-" + std::to_string(machine);
-  r.addr = "10.0.0.1:1";
-  r.type = "box";
-  r.zone = "a";
-  r.epoch = 1;
-  r.seq = seq;
-  r.fencing_token = fencing_token;
-  return r;
+  Heartbeat heartbeat;
+  heartbeat.machine = "m-" + std::to_string(machine);
+  heartbeat.addr = "10.0.0.1:1";
+  heartbeat.type = "box";
+  heartbeat.zone = "a";
+  heartbeat.epoch = 1;
+  heartbeat.seq = seq;
+  heartbeat.fencing_token = fencing_token;
+  return heartbeat;
 }
 
 inline MachineState state_of(const Scheduler& scheduler, int machine) {
@@ -63,9 +63,10 @@
   return MachineState::terminated;
 }
 
-// A ledger with a job of seven tasks, cancelled or not, the first of them on m-1.
-inline LedgerCache ledger_with_a_task_on_m1(ledger::JobStatus status, double timestamp_s) {
-  LedgerCache m;
+// A ledger with one job of seven tasks, three per chunk, in the given status. Its first task has an
+// attempt on m-1.
+inline LedgerCache ledger_with_task_on_m1(ledger::JobStatus status, double timestamp_s) {
+  LedgerCache ledger_cache;
   ledger::JobRow row;
   row.status = status;
   row.tasks = 7;
@@ -74,13 +75,14 @@
   row.spec = JobSpec{};
   row.spec->team = "team";
   row.spec->per_task = {1, 1, 1};
-  m.put("rd/j/wk-000001", ledger::encode(row), 3);
-  m.put("rd/t/0", nlohmann::json::parse(R"({"w":"x","e":[["wk-000001",0,1,[],[[0,1,"m-1",1]]]]})"),
-        4);
-  return m;
+  ledger_cache.put("rd/j/wk-000001", ledger::encode(row), 3);
+  ledger_cache.put("rd/t/0",
+                   nlohmann::json::parse(R"({"w":"x","e":[["wk-000001",0,1,[],[[0,1,"m-1",1]]]]})"),
+                   4);
+  return ledger_cache;
 }
 
-// The row of an open job of seven tasks, three a chunk, of the team "t".
+// The row of an open job of team "t" with seven tasks, three per chunk.
 inline nlohmann::json open_job_row() {
   ledger::JobRow row;
   row.tasks = 7;
@@ -90,7 +92,7 @@
   return ledger::encode(row);
 }
 
-// A leader with that token at time 0, for teams named "t".
+// A leader that took over at time 0, with one zone, one machine type and team "t".
 inline Scheduler one_zone_scheduler() {
   MachineType type;
   type.name = "box";
@@ -103,17 +105,17 @@
   return Scheduler(settings, {type}, kLeaderToken, 0);
 }
 
-// A heartbeat of m-1 without epoch, number and token.
+// A heartbeat of m-1 whose epoch, sequence number and fencing token are not set.
 inline Heartbeat heartbeat_of_m1() {
-  Heartbeat r;
-  r.machine = "m-1";
-  r.addr = "h:1";
-  r.type = "box";
-  r.zone = "a";
-  return r;
+  Heartbeat heartbeat;
+  heartbeat.machine = "m-1";
+  heartbeat.addr = "h:1";
+  heartbeat.type = "box";
+  heartbeat.zone = "a";
+  return heartbeat;
 }
 
-// A job with a single task, as its row tells.
+// A job of team "t" with a single task, as read from its row.
 inline CachedJob one_task_job(uint64_t version) {
   CachedJob job;
   job.version = version;
--- a/tests/scheduler/scheduler_guards_fixture.h
+++ b/tests/scheduler/scheduler_guards_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
-// What tests of the scheduler's guards share: messages that arrive late, twice or not at all, each
-// written by hand.
+// Fixture for tests of the scheduler's guards against messages that arrive late, twice or not at
+// all. The tests construct each message themselves.
 
 #include <gtest/gtest.h>
 
@@ -16,9 +16,10 @@
 
 namespace rookdyke::test {
 
-inline constexpr uint64_t kFirstRevision = 100;  // revisions of what is written in these tests
+// Revision of the ledger at the start of a test.
+inline constexpr uint64_t kFirstRevision = 100;
 
-// A leader, and heartbeats of m-1 written by hand; four tasks fill a machine.
+// A leader and hand-written heartbeats of m-1. Four tasks fill a machine.
 class SchedulerGuards : public testing::Test {
  protected:
   SchedulerGuards() : scheduler(bare_settings(), {bare_type()}, kLeaderToken, 0) {}
@@ -30,17 +31,17 @@
     scheduler.on_job_row(job_row(tasks, ++revision), id, now);
   }
   static Heartbeat heartbeat(uint64_t epoch, uint64_t seq, std::vector<TaskStatus> tasks = {}) {
-    Heartbeat r = bare_heartbeat(1, seq, kLeaderToken);
-    r.epoch = epoch;
-    r.tasks = std::move(tasks);
-    return r;
+    Heartbeat message = bare_heartbeat(1, seq, kLeaderToken);
+    message.epoch = epoch;
+    message.tasks = std::move(tasks);
+    return message;
   }
-  static TaskStatus task(const std::string& job, TaskPhase seen,
+  static TaskStatus task(const std::string& job, TaskPhase phase,
                          ExitCause cause = ExitCause::none) {
-    return {job, 0, 1, seen, cause, false};
+    return {job, 0, 1, phase, cause, false};
   }
-  // The next write of a page; what else is to be written is written.
-  std::optional<PendingTransaction> page_write(double now) {
+  // The next write of a page. Other writes before it are applied.
+  std::optional<PendingTransaction> next_page_write(double now) {
     while (auto p = scheduler.next_transaction(now)) {
       if (p->txn.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
       apply(*p, now);
@@ -50,37 +51,37 @@
   void apply(const PendingTransaction& p, double now) {
     scheduler.on_result(p.id, {ledger::Outcome::applied, ++revision, {}}, now);
   }
-  // Places what waits, and makes it durable.
+  // Runs a scheduling round and makes the proposed starts durable.
   void start_all(double now) {
     scheduler.round(now);
     while (auto p = scheduler.next_transaction(now)) apply(*p, now);
   }
-  // The starts that a write makes durable.
-  static std::vector<ledger::LiveAttempt> live_in(const PendingTransaction& p) {
-    std::vector<ledger::LiveAttempt> out;
+  // The live attempts in the page that `p` writes.
+  static std::vector<ledger::LiveAttempt> live_attempts(const PendingTransaction& p) {
+    std::vector<ledger::LiveAttempt> attempts;
     const auto page = ledger::decode_page(p.txn.changes.at(0).value);
     EXPECT_TRUE(page);
     if (page)
-      for (const auto& e : page->entries)
-        out.insert(out.end(), e.chunk.live.begin(), e.chunk.live.end());
-    return out;
+      for (const auto& entry : page->entries)
+        attempts.insert(attempts.end(), entry.chunk.live.begin(), entry.chunk.live.end());
+    return attempts;
   }
   static size_t count_starts(const std::vector<WorkerCommand>& commands) {
-    return static_cast<size_t>(
-        std::count_if(commands.begin(), commands.end(),
-                      [](const WorkerCommand& o) { return o.verb == CommandKind::start; }));
+    return static_cast<size_t>(std::count_if(
+        commands.begin(), commands.end(),
+        [](const WorkerCommand& command) { return command.verb == CommandKind::start; }));
   }
   size_t direct_starts(double now) {
-    const auto d = scheduler.next_direct_command(now);
-    return d ? count_starts(d->commands) : 0;
+    const auto call = scheduler.next_direct_command(now);
+    return call ? count_starts(call->commands) : 0;
   }
   const Machine& m1() const { return *scheduler.machines().at(0); }
   AttemptState state_of_task(const std::string& job) const {
     const Job* j = scheduler.find_job(job);
     return j && j->attempts.count(0) ? j->attempts.at(0).state : AttemptState::ended;
   }
-  // m-1 runs a task of each of two jobs, which then fail: a machine that fails like that takes no
-  // work any more.
+  // Runs one task of each of two jobs on m-1. heartbeat_of_two_failures() then reports that both
+  // failed, for which m-1 is cordoned.
   void run_two_jobs() {
     scheduler.on_heartbeat(heartbeat(1, 1), 1);
     submit("wk-000001", 1);
--- a/tests/scheduler/small_deployment_fixture.h
+++ b/tests/scheduler/small_deployment_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
-// What tests of the scheduler over minutes share: machines that send a heartbeat every second and
-// execute their commands, and a ledger that accepts every write.
+// Fixture for scheduler tests that span minutes: machines send a heartbeat every second and execute
+// their commands, and the ledger accepts every write.
 
 #include <gtest/gtest.h>
 
@@ -18,23 +18,24 @@
 
 namespace rookdyke::test {
 
-// A leader, machines of 4 GPUs that execute their commands, and a ledger that accepts every write.
+// A leader, machines with 4 GPUs each, and a ledger.
 class SmallDeployment : public testing::Test {
  protected:
   explicit SmallDeployment(std::vector<TeamQuota> teams = {{"team", 0, 0, 0, 0}})
       : scheduler(settings(std::move(teams)), {bare_type()}, kLeaderToken, 0) {}
   static Settings settings(std::vector<TeamQuota> teams) {
-    Settings s = bare_settings();
-    s.heartbeat_interval_s = 1;
-    s.teams = std::move(teams);
-    s.tuning.scale_in_delay_s = 1e6;  // no machine is drained in these tests
-    return s;
+    Settings settings = bare_settings();
+    settings.heartbeat_interval_s = 1;
+    settings.teams = std::move(teams);
+    settings.tuning.scale_in_delay_s = 1e6;  // no machine is drained in these tests
+    return settings;
   }
   void add_machine(int number) { workers_.push_back({number, 0, {}}); }
   void add_machines(int n) {
     for (int i = 0; i < n; ++i) add_machine(i);
   }
-  // A job whose tasks run for so long; negative: they fail.
+  // Submits a job whose tasks succeed after `run_s` seconds or, if it is negative, fail after
+  // `-run_s` seconds.
   void submit(const std::string& id, uint32_t tasks, double gpus, double run_s,
               const std::string& team = "team") {
     CachedJob job;
@@ -57,7 +58,7 @@
   void run_until(double end) {
     while (now < end) {
       now += 1;
-      for (Worker& w : workers_) report(w);
+      for (Worker& worker : workers_) send_heartbeat(worker);
       scheduler.round(now);
       while (auto p = scheduler.next_transaction(now))
         scheduler.on_result(p->id, {ledger::Outcome::applied, ++revision_, {}}, now);
@@ -65,23 +66,23 @@
   }
   size_t running(const std::string& id) const {
     size_t n = 0;
-    for (const Worker& w : workers_)
-      for (const auto& [key, task] : w.tasks)
-        n += task.report.job == id && task.report.phase == TaskPhase::running;
+    for (const Worker& worker : workers_)
+      for (const auto& [key, task] : worker.tasks)
+        n += task.status.job == id && task.status.phase == TaskPhase::running;
     return n;
   }
-  size_t most_at_once(const std::string& id) const {
-    const auto it = most_.find(id);
-    return it == most_.end() ? 0 : it->second;
+  size_t max_running(const std::string& id) const {
+    const auto it = max_running_.find(id);
+    return it == max_running_.end() ? 0 : it->second;
   }
 
   Scheduler scheduler;
   double now = 0;
-  std::map<std::string, size_t> starts, ends;
+  std::map<std::string, size_t> starts, completions;
 
  private:
   struct Task {
-    TaskStatus report;
+    TaskStatus status;
     double ends_at = 0;
   };
   struct Worker {
@@ -89,39 +90,41 @@
     uint64_t seq = 0;
     std::map<std::tuple<std::string, uint32_t, uint64_t>, Task> tasks;
   };
-  void report(Worker& w) {
-    Heartbeat r = bare_heartbeat(w.number, ++w.seq, kLeaderToken);
-    for (auto& [key, task] : w.tasks) {
-      if (task.report.phase == TaskPhase::running && now >= task.ends_at) {
-        task.report.phase = TaskPhase::exited;
-        task.report.cause = run_s_.at(task.report.job) < 0 ? ExitCause::error : ExitCause::done;
-        ends[task.report.job] += task.report.cause == ExitCause::done;
+  void send_heartbeat(Worker& worker) {
+    Heartbeat heartbeat = bare_heartbeat(worker.number, ++worker.seq, kLeaderToken);
+    for (auto& [key, task] : worker.tasks) {
+      if (task.status.phase == TaskPhase::running && now >= task.ends_at) {
+        task.status.phase = TaskPhase::exited;
+        task.status.cause = run_s_.at(task.status.job) < 0 ? ExitCause::error : ExitCause::done;
+        completions[task.status.job] += task.status.cause == ExitCause::done;
       }
-      r.tasks.push_back(task.report);
+      heartbeat.tasks.push_back(task.status);
     }
-    for (const WorkerCommand& o : scheduler.on_heartbeat(r, now).commands) execute(w, o);
+    for (const WorkerCommand& command : scheduler.on_heartbeat(heartbeat, now).commands)
+      execute(worker, command);
   }
-  void execute(Worker& w, const WorkerCommand& o) {
-    const auto key = std::make_tuple(o.job, o.task, o.attempt);
-    if (o.verb == CommandKind::forget) {
-      w.tasks.erase(key);
-    } else if (o.verb == CommandKind::stop) {
-      auto task = w.tasks.find(key);
-      if (task == w.tasks.end() || task->second.report.phase == TaskPhase::exited) return;
-      task->second.report.phase = TaskPhase::exited;
-      task->second.report.cause = ExitCause::stopped;
-    } else if (!w.tasks.count(key)) {
-      w.tasks[key] = {{o.job, o.task, o.attempt, TaskPhase::running, ExitCause::none, false},
-                      now + std::abs(run_s_.at(o.job))};
-      ++starts[o.job];
-      most_[o.job] = std::max(most_[o.job], running(o.job));
+  void execute(Worker& worker, const WorkerCommand& command) {
+    const auto key = std::make_tuple(command.job, command.task, command.attempt);
+    if (command.verb == CommandKind::forget) {
+      worker.tasks.erase(key);
+    } else if (command.verb == CommandKind::stop) {
+      auto task = worker.tasks.find(key);
+      if (task == worker.tasks.end() || task->second.status.phase == TaskPhase::exited) return;
+      task->second.status.phase = TaskPhase::exited;
+      task->second.status.cause = ExitCause::stopped;
+    } else if (!worker.tasks.count(key)) {
+      worker.tasks[key] = {
+          {command.job, command.task, command.attempt, TaskPhase::running, ExitCause::none, false},
+          now + std::abs(run_s_.at(command.job))};
+      ++starts[command.job];
+      max_running_[command.job] = std::max(max_running_[command.job], running(command.job));
     }
   }
 
   std::vector<Worker> workers_;
   std::map<std::string, double> run_s_;
   std::map<std::string, CachedJob> rows_;
-  std::map<std::string, size_t> most_;
+  std::map<std::string, size_t> max_running_;
   uint64_t revision_ = 100;
 };
 
--- a/tests/scheduler/starvation_test.cpp
+++ b/tests/scheduler/starvation_test.cpp
@@ -1,4 +1,4 @@
-// How much a starved array may take of the fleet at its turn.
+// Starvation allowance: how many tasks a starved array may start.
 
 #include <gtest/gtest.h>
 
@@ -10,8 +10,8 @@
 using namespace test;
 
 constexpr int kMachines = 64;
-constexpr size_t kPlacesOfAMachine = 4;
-constexpr uint32_t kSeveralTimesTheFleet = 20'000;
+constexpr size_t kSlotsPerMachine = 4;
+constexpr uint32_t kTasksBeyondTheFleet = 20'000;
 
 LedgerCache ledger_with_array(uint32_t tasks, double accepted_at) {
   LedgerCache ledger_cache;
@@ -29,31 +29,31 @@
   return ledger_cache;
 }
 
-// Starts of the array in the first round of a leader, 64 empty machines of four places each.
-size_t starts_in_first_round(uint32_t tasks, double waited) {
+// Number of tasks that the array starts in a leader's first round, on an empty fleet.
+size_t starts_in_first_round(uint32_t tasks, double waited_s) {
   constexpr double kNow = 500;
   Scheduler scheduler(bare_settings(), {bare_type()}, kLeaderToken, kNow);
   scheduler.set_time_of_day_offset(0);
-  scheduler.load(ledger_with_array(tasks, kNow - waited), kNow);
+  scheduler.load(ledger_with_array(tasks, kNow - waited_s), kNow);
   for (int i = 0; i < kMachines; ++i)
     scheduler.on_heartbeat(bare_heartbeat(i, 1, kLeaderToken), kNow);
   scheduler.round(kNow);
   return scheduler.find_job("wk-000001")->attempts.size();
 }
 
-// Without the bound by the fleet an array larger than it would take every place at its turn, before
-// work that is promised a prompt start.
-TEST(Starvation, AnArrayLargerThanTheFleetTakesAShareOfTheFleet) {
-  constexpr size_t kShareOfTheFleet = kMachines * kPlacesOfAMachine / 16;
-  EXPECT_EQ(starts_in_first_round(kSeveralTimesTheFleet, 130), kShareOfTheFleet);
+// If the allowance depended on the number of tasks alone, a starved array much larger than the
+// fleet would take every slot before jobs with a start-time objective.
+TEST(Starvation, AnArrayLargerThanTheFleetStartsAShareOfTheFleet) {
+  constexpr size_t kAllowance = kMachines * kSlotsPerMachine / 16;
+  EXPECT_EQ(starts_in_first_round(kTasksBeyondTheFleet, 130), kAllowance);
 }
 
-TEST(Starvation, AnArraySmallerThanTheFleetTakesAShareOfItsTasks) {
+TEST(Starvation, AnArraySmallerThanTheFleetStartsAShareOfItsTasks) {
   EXPECT_EQ(starts_in_first_round(160, 130), 10u);
   EXPECT_EQ(starts_in_first_round(16, 130), 4u) << "never fewer than four";
 }
 
-TEST(Starvation, AnArrayThatDoesNotStarveIsNotBounded) {
+TEST(Starvation, AnArrayThatIsNotStarvedIsNotLimited) {
   EXPECT_GT(starts_in_first_round(160, 1), 10u);
 }
 
