--- a/src/api/http_reply.h
+++ b/src/api/http_reply.h
@@ -1,5 +1,5 @@
 #pragma once
-// HTTP responses of this controller with MessagePack bodies.
+// Helper for HTTP responses with MessagePack bodies.
 
 #include <httplib.h>
 
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -21,16 +21,20 @@
 
 namespace {
 
-// Users wait 5 s for the response to a submission and 2 s for that to a poll. Requests are decided
-// within these shorter times, so that the response arrives in time. Cancellations have the same
-// timeout as submissions.
+// Users wait 5 s for the response to a submission and 2 s for that to a poll. Requests are
+// processed within these shorter times, so that the response arrives in time. kSubmitTimeoutS
+// applies to cancellations too.
 constexpr double kSubmitTimeoutS = 3.0;
 constexpr double kPollTimeoutS = 1.5;
-// Older responses are not sent: the user has stopped waiting, and may have received a newer
-// response from another controller since.
+// If a poll that needed a read barrier was received longer ago than this, the response is a 503:
+// the user has stopped waiting, and may have received a newer response from another controller
+// since.
 constexpr double kPollResponseMaxAgeS = 2;
-constexpr double kSubmitResponseGraceS = 1;  // after the deadline of the submission
-constexpr size_t kRowOverheadBytes = 16;     // added to the encoded size of a row's value
+// The same limit for responses to a submission that report a job which has not ended, counted from
+// the deadline of the submission.
+constexpr double kSubmitResponseGraceS = 1;
+// Added to the encoded size of a job's row before the size is compared with the limits.
+constexpr size_t kRowOverheadBytes = 16;
 constexpr unsigned kMaxRetryAfterS = 3;
 
 constexpr const char* kLedgerUnavailable = "the ledger does not answer";
@@ -79,55 +83,56 @@
   const auto id = wire::parse_job_id(*body);
   if (!id) return reply(response, http_status::kBadRequest, wire::encode_error("bad id"));
 
-  if (respond_if_known(*id, deadline, response)) return;
+  if (respond_if_cached(*id, deadline, response)) return;
   const auto spec = admit(*id, *body, deadline, response);
   if (spec) accept(*id, *spec, deadline, response);
 }
 
-// Responds with the state of the job if it exists, even if the submission differs from the one that
-// was accepted. Returns false if it does not exist.
+// Responds with the status of the job if it exists, even if the submission differs from the one
+// that was accepted. Returns false if it does not exist.
 bool UserApi::respond_from_ledger(const std::string& id, double deadline,
                                   httplib::Response& response) {
-  std::optional<JobProgress> summary;
+  std::optional<JobProgress> progress;
   bool unreadable = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
-    summary = ledger_cache.job_progress(id);
+    progress = ledger_cache.job_progress(id);
     unreadable = ledger_cache.is_unreadable(id);
   });
   if (unreadable) {
     respond_unavailable(response, kUnreadable);
     return true;
   }
-  if (!summary) return false;
-  if (summary->status == JobStatus::open && steady_now() > deadline + kSubmitResponseGraceS)
+  if (!progress) return false;
+  if (progress->status == JobStatus::open && steady_now() > deadline + kSubmitResponseGraceS)
     respond_unavailable(response, kTooLate);  // other controllers may have sent newer responses
   else
-    respond_with_status(id, *summary, false, deadline, response);
+    respond_with_status(id, *progress, false, deadline, response);
   return true;
 }
 
-// Responds with the state of the job if the cache has it, after a read barrier unless the job has
-// ended. Jobs that the cache does not have are not worth a read barrier, since most of them are
-// new.
-bool UserApi::respond_if_known(const std::string& id, double deadline,
-                               httplib::Response& response) {
-  bool cached = false, finished = false;
+// Responds with the status of the job if the cache contains it, after a read barrier unless the job
+// has ended. Returns false without a read barrier if the cache does not contain the job: most such
+// jobs are new.
+bool UserApi::respond_if_cached(const std::string& id, double deadline,
+                                httplib::Response& response) {
+  bool cached = false, ended = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
     if (const CachedJob* job = ledger_cache.job(id)) {
       cached = true;
-      finished = job->row.status != JobStatus::open;
+      ended = job->row.status != JobStatus::open;
     }
   });
   if (!cached) return false;
-  if (!finished && !ledger_.wait_for_barrier(deadline - steady_now())) {
+  if (!ended && !ledger_.wait_for_barrier(deadline - steady_now())) {
     respond_unavailable(response, kLedgerUnavailable);
     return true;
   }
   return respond_from_ledger(id, deadline, response);
 }
 
-// Must be called before any response of 400 or 422, since another controller may have accepted the
-// job.
+// Responds after a read barrier if the job exists or the ledger is unavailable; otherwise returns
+// false. Must be called before a submission with a valid id is refused with 400 or 422, since
+// another controller may have accepted the job.
 bool UserApi::respond_if_accepted_elsewhere(const std::string& id, double deadline,
                                             httplib::Response& response) {
   if (!ledger_.wait_for_barrier(deadline - steady_now())) {
@@ -213,49 +218,51 @@
   const double received_at = steady_now();
   if (!wire::is_valid_job_id(id))
     return reply(response, http_status::kNotFound, wire::encode_error(kNoSuchJob));
-  std::optional<JobProgress> summary;
+  std::optional<JobProgress> progress;
   bool unreadable = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
     const CachedJob* job = ledger_cache.job(id);
-    if (job && job->row.status != JobStatus::open) summary = ledger_cache.job_progress(id);
+    if (job && job->row.status != JobStatus::open) progress = ledger_cache.job_progress(id);
   });
-  if (summary)  // a final state, which cannot be outdated
-    return respond_with_status(id, *summary, true, received_at + kPollTimeoutS, response);
+  if (progress)  // a final status, which cannot be outdated
+    return respond_with_status(id, *progress, true, received_at + kPollTimeoutS, response);
   // Invariant 5: without a read barrier, the response could be older than one that another
   // controller has sent.
   if (!ledger_.wait_for_barrier(kPollTimeoutS))
     return respond_unavailable(response, kLedgerUnavailable);
   bool too_late = false;
   ledger_.read([&](const LedgerCache& ledger_cache) {
-    summary = ledger_cache.job_progress(id);
+    progress = ledger_cache.job_progress(id);
     unreadable = ledger_cache.is_unreadable(id);
     // Invariant 5: the process may have been suspended since the read barrier.
     too_late = steady_now() - received_at > kPollResponseMaxAgeS;
   });
   if (too_late) return respond_unavailable(response, kTooLate);
   if (unreadable) return respond_unavailable(response, kUnreadable);
-  if (!summary) return reply(response, http_status::kNotFound, wire::encode_error(kNoSuchJob));
-  respond_with_status(id, *summary, true, received_at + kPollTimeoutS, response);
+  if (!progress) return reply(response, http_status::kNotFound, wire::encode_error(kNoSuchJob));
+  respond_with_status(id, *progress, true, received_at + kPollTimeoutS, response);
 }
 
 // Sends every response that reports an existing job, except to the request that created or
 // cancelled it. A cancellation is reported only once the leader knows it.
-void UserApi::respond_with_status(const std::string& id, const JobProgress& summary,
+void UserApi::respond_with_status(const std::string& id, const JobProgress& progress,
                                   bool with_counts, double deadline, httplib::Response& response) {
-  if (summary.status == JobStatus::cancelled && !ledger_.may_confirm_cancelled(id, deadline, 0))
+  if (progress.status == JobStatus::cancelled && !ledger_.may_confirm_cancelled(id, deadline, 0))
     return respond_unavailable(response, kLeaderNotInformed, Connection::close);
-  reply(response, http_status::kOk, wire::encode_job_status(id, summary, with_counts));
+  reply(response, http_status::kOk, wire::encode_job_status(id, progress, with_counts));
 }
 
 // ---------------------------------------------------------------- cancellations
 
-// A cancellation that is ready to be written or, if `finished` is set, the state of a job that has
-// already ended.
+// A cancellation that is ready to be written or, if `final_progress` is set, the progress of a job
+// that has already ended.
 struct UserApi::Cancellation {
-  std::optional<JobProgress> finished;
+  std::optional<JobProgress> final_progress;
   ledger::Transaction transaction;
   ledger::JobRow row;
-  uint64_t leader = 0;  // version of the leader key that the write depends on; 0: no leader
+  // Fencing token of the leader, which is the version of the leader key that the write is
+  // conditional on; 0: no leader.
+  uint64_t leader_token = 0;
 };
 
 // Prepares a transaction that is conditional on the rows as the cache shows them after a read
@@ -274,16 +281,18 @@
     const CachedJob* job = ledger_cache.job(id);
     if (!job) return;
     known = true;
-    if (job->row.status != JobStatus::open) cancellation.finished = ledger_cache.job_progress(id);
+    if (job->row.status != JobStatus::open)
+      cancellation.final_progress = ledger_cache.job_progress(id);
     cancellation.row.tasks = job->row.tasks;
     cancellation.row.chunk_size = job->row.chunk_size;
     cancellation.row.spec = job->row.spec;
     cancellation.transaction.conditions = {{ledger::job_key(id), job->version}};
-    // The write requires an unchanged leader key, so that it is known which leader has to be
+    // The write is conditional on the leader key, so that it is known which leader has to be
     // notified. Without a leader, the next leader reads the row, and the user has to retry.
     if (!ledger_cache.leader().empty()) {
-      cancellation.leader = ledger_cache.leader_version();
-      cancellation.transaction.conditions.push_back({ledger::kLeaderKey, cancellation.leader});
+      cancellation.leader_token = ledger_cache.leader_version();
+      cancellation.transaction.conditions.push_back(
+          {ledger::kLeaderKey, cancellation.leader_token});
     }
   });
   if (unreadable) {
@@ -305,8 +314,8 @@
   while (true) {
     auto cancellation = prepare_cancellation(id, deadline, response);
     if (!cancellation) return;
-    if (cancellation->finished)
-      return respond_with_status(id, *cancellation->finished, false, deadline, response);
+    if (cancellation->final_progress)
+      return respond_with_status(id, *cancellation->final_progress, false, deadline, response);
     cancellation->row.status = JobStatus::cancelled;
     cancellation->row.timestamp_s = unix_time_s();
     cancellation->row.transaction_id = cancellation->transaction.transaction_id;
@@ -318,20 +327,20 @@
       return respond_unavailable(response, kLedgerUnavailable);
     if (result->outcome == Outcome::conflict) continue;  // a row has changed
     ledger_.apply_committed({ledger::job_key(id), value, result->revision, false});
-    if (!ledger_.may_confirm_cancelled(id, deadline, cancellation->leader))
+    if (!ledger_.may_confirm_cancelled(id, deadline, cancellation->leader_token))
       return respond_unavailable(response, kLeaderNotInformed, Connection::close);
     return reply(response, http_status::kOk, wire::encode_job_cancelled(id));
   }
 }
 
 // Responds with 503 and a Retry-After that varies from one response to the next, so that clients do
-// not all retry in the same second after an outage. Closes the connection if peer controllers can
-// serve the user: on an open connection, the retry would reach this controller again until the load
-// balancer fails over.
+// not all retry in the same second after an outage. Closes the connection if `connection` requires
+// it or a peer controller reaches the state service: on an open connection, the retry would reach
+// this controller again until the load balancer fails over.
 void UserApi::respond_unavailable(httplib::Response& response, const char* reason,
                                   Connection connection) {
-  static std::atomic<unsigned> refusals{0};
-  response.set_header("Retry-After", std::to_string(1 + refusals++ % kMaxRetryAfterS));
+  static std::atomic<unsigned> response_count{0};
+  response.set_header("Retry-After", std::to_string(1 + response_count++ % kMaxRetryAfterS));
   if (connection == Connection::close || ledger_.siblings_are_served()) {
     response.set_header("Connection", "close");
     net::Server::close_after_answer();
--- a/src/mesh/mesh.cpp
+++ b/src/mesh/mesh.cpp
@@ -29,14 +29,15 @@
   return too_deep ? json(json::value_t::discarded) : parsed;
 }
 
-// Replaces invalid UTF-8, which names from users and workers may contain; the default is to throw.
+// Replaces invalid UTF-8; the library's default is to throw. Names in users' and workers' messages
+// are checked when they are received (wire::is_name), but names in rows of the ledger are not.
 std::string dump(const json& message) {
   return message.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// Parses a revision of the state service; fencing tokens are revisions too. Negative and excessive
-// numbers are invalid: -1 would be converted to the highest token, which would depose every leader
-// permanently.
+// Parses a revision of the state service; fencing tokens are revisions too. Negative numbers and
+// numbers above kMaxRevision are invalid: -1 would be converted to the highest token, which would
+// depose every leader permanently.
 std::optional<uint64_t> parse_revision(const json& value) {
   if (!value.is_number_unsigned() || value.get<uint64_t>() > kMaxRevision) return std::nullopt;
   return value.get<uint64_t>();
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -2,12 +2,12 @@
 // The JSON messages that the controllers of a deployment exchange on mesh_addr, and the client for
 // one peer controller.
 //
-// A view carries the leader that its sender knows, whether the sender reaches the state service,
-// and its demand for writes. Through views, a leader that is partitioned from the state service
-// learns of its successor and steps down earlier, and controllers distinguish an outage of the
-// state service from a partition. A cancellation notice informs the leader of cancellations, so
-// that they can be confirmed to users (leadership/cancellations.h). Paths and keys must not change,
-// since older versions of the program use them too.
+// A view reports what its sender knows of the leader and of the state service, and how much of the
+// shared write rate the sender needs. Through views, a leader that is partitioned from the state
+// service learns of its successor and steps down before its lease ends, and controllers distinguish
+// an outage of the state service from a partition. A cancellation notice informs the leader of
+// cancellations, so that they can be confirmed to users (leadership/cancellations.h). Paths and
+// keys must not change, since older versions of the program use them too.
 
 #include <httplib.h>
 
@@ -25,16 +25,20 @@
 
 // The state that a controller reports to its peer controllers.
 struct View {
-  std::string label;
-  std::string incarnation;         // identifies the process; changes when the controller restarts
-  std::string leader;              // label of the known leader; empty: none is known
-  uint64_t fencing_token = 0;      // the highest that the sender knows
-  uint64_t read_to = 0;            // revision up to which a leader has read the ledger
-  bool state_ok = false;           // the state service responded to the sender recently
-  double write_demand = 0;         // changes per second that the sender needs
-  nlohmann::json image_locations;  // sent periodically by the leader; otherwise null
-  // Whether the state service has lowered its limit of changes per second, and its limits of sizes.
-  // Version 0.1 neither sends nor reads these two fields.
+  std::string label;           // of the sender
+  std::string incarnation;     // identifies the sender's process; changes when it restarts
+  std::string leader;          // label of the known leader; empty: none is known
+  uint64_t fencing_token = 0;  // the highest fencing token that the sender knows
+  // The highest revision up to which, as far as the sender knows, a leader has read the ledger.
+  uint64_t read_to = 0;
+  bool state_ok = false;    // the state service responded to the sender recently
+  double write_demand = 0;  // row changes per second that the sender needs
+  // The images that machines have cached (ImageTracker::image_locations). Sent periodically by the
+  // leader; otherwise null.
+  nlohmann::json image_locations;
+  // Whether the sender knows that the state service has lowered its write rate limit
+  // (rate_lowered), and its limits on the sizes of values and transactions (sizes_lowered). Version
+  // 0.1 neither sends nor reads these two fields.
   bool rate_lowered = false;
   bool sizes_lowered = false;
 };
@@ -45,14 +49,15 @@
 // Returns nullopt if the message is malformed.
 std::optional<View> decode(const std::string& text);
 
-// Informs the holder of the leader key of cancelled jobs, whose rows are already durable.
+// Carries the rows of cancelled jobs, which are already durable, to the controller that holds the
+// leader key.
 struct CancellationNotice {
   struct Row {
     std::string job;
     nlohmann::json value;
     uint64_t version = 0;
   };
-  uint64_t fencing_token = 0;  // the leader's fencing token, as far as the sender knows
+  uint64_t fencing_token = 0;  // of the leader that the sender knows; 0: none is known
   std::vector<Row> rows;
 };
 
@@ -60,8 +65,8 @@
 // Returns nullopt if the message is malformed.
 std::optional<CancellationNotice> decode_cancellation_notice(const std::string& text);
 
-// HTTP client for one peer controller. Not thread-safe. Connecting, sending and receiving each time
-// out after at most half a second.
+// HTTP client for one peer controller. Not thread-safe. The timeouts for connecting, and for each
+// read and each write on the socket, are half a second or less.
 class PeerClient {
  public:
   explicit PeerClient(const Sibling& sibling);
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -92,7 +92,7 @@
   for (const json& entry : *list) {
     auto type = parse_machine_type(entry);
     if (!type || has_type(types, type->name)) {
-      spdlog::error("cloud: the machine types cannot be read");
+      spdlog::error("cloud: machine types refused: an entry of the list is invalid or duplicate");
       return std::nullopt;
     }
     types.push_back(std::move(*type));
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -9,7 +9,7 @@
 //   lot       job class                   tally     sequence number of a heartbeat
 //   kit       container image             warrant   fencing token
 //   breed     machine type                steward   leader
-//   yard      zone                        recall_s  time left of a spot machine's reclaim notice
+//   yard      zone                        recall_s  seconds until the cloud reclaims a machine
 //   croft     machine                     orders    commands to a worker
 //   loaners   spot machines               leave_s   grace period of a stop command
 //   shift     task                        hire      id of a rental request
@@ -21,7 +21,8 @@
 
 namespace rookdyke::wire {
 
-// One namespace per message. Suffixes name the unit: S for seconds, Gb for gigabytes.
+// One namespace per message or group of messages. Suffixes name the unit: S for seconds, Ms for
+// milliseconds, Gb for gigabytes.
 namespace field {
 
 // A submitted job.
@@ -139,7 +140,7 @@
 }  // namespace machine_list
 
 // The rows, transactions, events and leases of the state service.
-namespace store {
+namespace state_service {
 inline constexpr const char* kRevision = "ledger";
 inline constexpr const char* kKey = "k";
 inline constexpr const char* kValue = "v";
@@ -154,7 +155,7 @@
 inline constexpr const char* kFailedKeys = "failed";
 inline constexpr const char* kLease = "tether";
 inline constexpr const char* kLeaseTtlMs = "ttl_ms";
-}  // namespace store
+}  // namespace state_service
 
 }  // namespace field
 
--- a/src/wire/field_reader.h
+++ b/src/wire/field_reader.h
@@ -37,7 +37,7 @@
 // valid UTF-8. Names are sent to peer controllers in JSON, which requires UTF-8.
 bool is_name(const json& value);
 
-// Maps a value of the protocol to an enumerator.
+// An enumerator (`value`) and the string that represents it in the protocol (`name`).
 template <class Enum>
 struct NamedValue {
   std::string_view name;
--- a/src/wire/message_pack.cpp
+++ b/src/wire/message_pack.cpp
@@ -7,7 +7,7 @@
 constexpr size_t kMaxDepth = 32;
 
 // Stops parsing beyond kMaxDepth. The library parses recursively, so a body of deeply nested lists
-// would overflow the small stack of a connection's thread.
+// would overflow the small stack of a server thread.
 class DepthLimiter : public nlohmann::json_sax<json> {
  public:
   bool null() override { return true; }
--- a/src/wire/state_messages.cpp
+++ b/src/wire/state_messages.cpp
@@ -13,27 +13,29 @@
 namespace {
 
 json encode_condition(const ledger::Condition& condition) {
-  return {{field::store::kKey, condition.key}, {field::store::kVersion, condition.version}};
+  return {{field::state_service::kKey, condition.key},
+          {field::state_service::kVersion, condition.version}};
 }
 
 json encode_change(const ledger::Change& change) {
-  if (change.erase) return {{field::store::kDelete, change.key}};
-  json message = {{field::store::kWrite, change.key}, {field::store::kValue, change.value}};
-  if (change.lease) message[field::store::kLease] = change.lease;
+  if (change.erase) return {{field::state_service::kDelete, change.key}};
+  json message = {{field::state_service::kWrite, change.key},
+                  {field::state_service::kValue, change.value}};
+  if (change.lease) message[field::state_service::kLease] = change.lease;
   return message;
 }
 
 void read_value(const json& message, Row& row) {
-  if (const json* value = find_field(message, field::store::kValue)) row.value = *value;
+  if (const json* value = find_field(message, field::state_service::kValue)) row.value = *value;
 }
 
 std::optional<Row> parse_event(const json& message) {
-  const auto version = find_unsigned(message, field::store::kVersion);
+  const auto version = find_unsigned(message, field::state_service::kVersion);
   if (!version) return std::nullopt;
   Row row;
   row.version = *version;
-  const json* written = find_field(message, field::store::kWrite);
-  const json* deleted = find_field(message, field::store::kDelete);
+  const json* written = find_field(message, field::state_service::kWrite);
+  const json* deleted = find_field(message, field::state_service::kDelete);
   if (written && written->is_string()) {
     row.key = written->get<std::string>();
     read_value(message, row);
@@ -85,17 +87,17 @@
     conditions.push_back(encode_condition(condition));
   json changes = json::array();
   for (const ledger::Change& change : transaction.changes) changes.push_back(encode_change(change));
-  return {{field::store::kConditions, std::move(conditions)},
-          {field::store::kChanges, std::move(changes)}};
+  return {{field::state_service::kConditions, std::move(conditions)},
+          {field::state_service::kChanges, std::move(changes)}};
 }
 
 std::optional<uint64_t> parse_revision(const json& message) {
-  return find_unsigned(message, field::store::kRevision);
+  return find_unsigned(message, field::state_service::kRevision);
 }
 
 std::vector<std::string> parse_failed_keys(const json& message) {
   std::vector<std::string> keys;
-  const json* list = find_field(message, field::store::kFailedKeys);
+  const json* list = find_field(message, field::state_service::kFailedKeys);
   if (!is_list(list)) return keys;
   for (const json& key : *list)
     if (key.is_string()) keys.push_back(key.get<std::string>());
@@ -103,8 +105,8 @@
 }
 
 std::optional<Row> parse_row(const json& message) {
-  const json* key = find_field(message, field::store::kKey);
-  const auto version = find_unsigned(message, field::store::kVersion);
+  const json* key = find_field(message, field::state_service::kKey);
+  const auto version = find_unsigned(message, field::state_service::kVersion);
   if (!key || !key->is_string() || !version) return std::nullopt;
   Row row;
   row.key = key->get<std::string>();
@@ -114,18 +116,18 @@
 }
 
 std::optional<Rows> parse_rows(const json& message) {
-  const json* list = find_field(message, field::store::kRows);
+  const json* list = find_field(message, field::state_service::kRows);
   const auto revision = parse_revision(message);
   if (!list || !revision) return std::nullopt;
   Rows rows;
   rows.revision = *revision;
-  rows.more = flag_or(message, field::store::kMore);
+  rows.more = flag_or(message, field::state_service::kMore);
   if (!parse_entries(*list, parse_row, rows.rows)) return std::nullopt;
   return rows;
 }
 
 std::optional<Rows> parse_events(const json& message) {
-  const json* list = find_field(message, field::store::kEvents);
+  const json* list = find_field(message, field::state_service::kEvents);
   const auto revision = parse_revision(message);
   if (!revision) return std::nullopt;
   Rows events;
@@ -136,12 +138,12 @@
 
 json encode_lease_request(double ttl_s) {
   constexpr double kMillisecondsPerSecond = 1000;
-  return {{field::store::kLeaseTtlMs,
+  return {{field::state_service::kLeaseTtlMs,
            static_cast<int64_t>(std::lround(ttl_s * kMillisecondsPerSecond))}};
 }
 
 std::optional<uint64_t> parse_lease_id(const json& message) {
-  return find_unsigned(message, field::store::kLease);
+  return find_unsigned(message, field::state_service::kLease);
 }
 
 }  // namespace rookdyke::wire
--- a/src/wire/state_messages.h
+++ b/src/wire/state_messages.h
@@ -1,7 +1,7 @@
 #pragma once
-// Messages between a controller and the state service: rows, transactions, events and leases. Used
-// by src/state/. Decoding never throws. A response with an invalid row or event is invalid as a
-// whole, since a row that is left out would appear not to exist.
+// Messages between a controller and the state service: rows, transactions, events and leases. The
+// functions are used by src/state/ only. Decoding never throws. A response with an invalid row or
+// event is invalid as a whole, since a row that is left out would appear not to exist.
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -15,18 +15,18 @@
 
 using nlohmann::json;
 
-// A row of the state service, or an event that reports its last change.
+// A row of the state service, or an event that reports a change of a row.
 struct Row {
   std::string key;
   json value;
-  uint64_t version = 0;  // revision of the last change
+  uint64_t version = 0;  // revision of the last change, or of the change that the event reports
   bool erased = false;   // the event reports a deletion; always false in reads
 };
 
-// The rows or events of a response, in its order.
+// The rows or events of a response, in the order of the response.
 struct Rows {
   std::vector<Row> rows;
-  bool more = false;      // whether more rows of the range follow
+  bool more = false;      // whether more rows of the range follow; always false for events
   uint64_t revision = 0;  // of the state service at the time of the response
 };
 
@@ -37,14 +37,15 @@
 // Returns the path of the events under a prefix after revision `after`. The state service waits for
 // the first event for up to `hold_ms`.
 std::string watch_path(const std::string& prefix, uint64_t after, int hold_ms);
-// Return the paths that identify a lease and renew it.
+// Return the path of a lease, and the path of the request that renews it.
 std::string lease_path(uint64_t lease_id);
 std::string renewal_path(uint64_t lease_id);
 
 // Encodes a request to execute a transaction.
 json encode_transaction(const ledger::Transaction& transaction);
-// Decodes the revision of the state service in a response, which for an executed transaction is the
-// revision that it created. Returns nullopt if it is invalid.
+// Decodes the revision of the state service in a response. In the response to an executed
+// transaction, it is the revision that the transaction created. Returns nullopt if it is missing or
+// invalid.
 std::optional<uint64_t> parse_revision(const json& message);
 // Decodes the keys whose conditions failed.
 std::vector<std::string> parse_failed_keys(const json& message);
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -32,8 +32,8 @@
     {value::priority::kCritical, Priority::critical},
 }};
 
-// Reads the fields of a submission and records the last one that was missing or invalid. The value
-// of such a field is the default of its type.
+// Reads the fields of a submission and records the last one that was missing or invalid. Such a
+// field is read as a placeholder value; callers must check invalid_field() at the end.
 class SubmissionReader {
  public:
   explicit SubmissionReader(const json& submission) : submission_(submission) {}
@@ -101,7 +101,7 @@
   job.priority = reader.one_of(field::job::kPriority, kPriorities);
 }
 
-void read_demand(SubmissionReader& reader, JobSpec& job) {
+void read_requirements(SubmissionReader& reader, JobSpec& job) {
   job.tasks = reader.task_count();
   job.per_task.cpus = reader.amount(field::job::kCpus);
   job.per_task.gpus = reader.amount(field::job::kGpus);
@@ -122,10 +122,10 @@
   if (reader.has(field::job::kZone)) job.zone = reader.name(field::job::kZone);
 }
 
-const char* status_name(const JobProgress& summary) {
-  if (summary.status == ledger::JobStatus::done) return value::job_status::kDone;
-  if (summary.status == ledger::JobStatus::cancelled) return value::job_status::kCancelled;
-  return summary.running > 0 ? value::job_status::kRunning : value::job_status::kPending;
+const char* status_name(const JobProgress& progress) {
+  if (progress.status == ledger::JobStatus::done) return value::job_status::kDone;
+  if (progress.status == ledger::JobStatus::cancelled) return value::job_status::kCancelled;
+  return progress.running > 0 ? value::job_status::kRunning : value::job_status::kPending;
 }
 
 json job_with_status(const std::string& id, const char* status) {
@@ -152,17 +152,17 @@
   SubmissionReader reader(submission);
   JobSpec job;
   read_identity(reader, job);
-  read_demand(reader, job);
+  read_requirements(reader, job);
   read_placement(reader, job);
   if (!reader.invalid_field().empty()) return DecodeError{reader.invalid_field()};
   return job;
 }
 
-json encode_job_status(const std::string& id, const JobProgress& summary, bool with_counts) {
-  json message = job_with_status(id, status_name(summary));
+json encode_job_status(const std::string& id, const JobProgress& progress, bool with_counts) {
+  json message = job_with_status(id, status_name(progress));
   if (with_counts) {
-    message[field::job_status::kDoneTasks] = summary.done;
-    message[field::job_status::kRunningTasks] = summary.running;
+    message[field::job_status::kDoneTasks] = progress.done;
+    message[field::job_status::kRunningTasks] = progress.running;
   }
   return message;
 }
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -16,8 +16,8 @@
 
 // The reason why a submission was refused.
 struct DecodeError {
-  // The protocol's name of the missing or invalid field (if there are several, of the one that is
-  // checked last), or a description of another error.
+  // The protocol's name of the missing or invalid field (the last one that is checked, if there are
+  // several), or a description of another error.
   std::string field;
 };
 
@@ -32,7 +32,7 @@
 
 // Encodes a response that reports the status of a job and, if `with_counts` is set, how many of its
 // tasks are done and running.
-json encode_job_status(const std::string& id, const JobProgress& summary, bool with_counts);
+json encode_job_status(const std::string& id, const JobProgress& progress, bool with_counts);
 // Encode the responses to a submission and a cancellation that were successful.
 json encode_job_accepted(const std::string& id);
 json encode_job_cancelled(const std::string& id);
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -80,8 +80,8 @@
 }
 
 // Reads the epoch, the sequence number, and the highest fencing token that the worker has seen.
-// Returns false if one is missing or invalid: a default value would be mistaken for that of another
-// session, heartbeat or leader.
+// Returns false if one is missing or invalid: a default value instead could equal the value of
+// another session, heartbeat or leader.
 bool read_session(const json& message, Heartbeat& heartbeat) {
   const auto epoch = find_unsigned(message, field::heartbeat::kEpoch);
   const auto sequence = find_unsigned(message, field::heartbeat::kSequence);
