--- a/src/daemon/cancellation_gate.cpp
+++ b/src/daemon/cancellation_gate.cpp
@@ -6,7 +6,7 @@
 namespace rookdyke {
 
 void CancellationGate::on_leader_read(uint64_t revision) {
-  known_cancellations_.read_to(revision);
+  known_cancellations_.on_leader_read(revision);
   state_changed_.notify_all();
 }
 
@@ -18,7 +18,7 @@
   notification.leader_token = std::max(notification.leader_token, leader_token);
   notifier_wakeup_.notify_one();
   const auto deadline = std::chrono::steady_clock::now() + std::chrono::duration<double>(timeout_s);
-  // After a failed notification the ledger may still show how far the leader has read.
+  // After a failed notification the ledger may still show that the leader has read the row.
   state_changed_.wait_until(lock, deadline, [&] {
     return stopped_ || known_cancellations_.contains(job, version) ||
            (notifications_.at(job).finished && ledger_unavailable());
@@ -33,8 +33,8 @@
   state_changed_.notify_all();
 }
 
-std::vector<CancellationGate::Pending> CancellationGate::pending() const {
-  std::vector<Pending> out;
+std::vector<CancellationGate::PendingNotification> CancellationGate::pending() const {
+  std::vector<PendingNotification> out;
   for (const auto& [job, notification] : notifications_)
     if (!notification.finished) out.push_back({job, notification.leader_token});
   return out;
@@ -44,9 +44,9 @@
   if (auto it = notifications_.find(job); it != notifications_.end()) it->second.finished = true;
 }
 
-void CancellationGate::wait_for_pending(Lock& lock, double longest_s) {
+void CancellationGate::wait_for_pending(Lock& lock, double timeout_s) {
   if (!stopped_)
-    notifier_wakeup_.wait_for(lock, std::chrono::duration<double>(std::max(0.001, longest_s)));
+    notifier_wakeup_.wait_for(lock, std::chrono::duration<double>(std::max(0.001, timeout_s)));
 }
 
 }  // namespace rookdyke
--- a/src/daemon/cancellation_notifier.cpp
+++ b/src/daemon/cancellation_notifier.cpp
@@ -30,8 +30,8 @@
 // Checks for work and waits under one lock, so that no wakeup in between is lost.
 CancellationNotifier::Work CancellationNotifier::wait_for_work() {
   auto state = shared_.lock();
-  if (state->must_publish_read_to(steady_now()) && state->may_decide(steady_now()))
-    return read_to_publication(*state);
+  if (state->must_publish_read_revision(steady_now()) && state->may_decide(steady_now()))
+    return read_revision_publication(*state);
   Notification notification = next_notification(*state);
   if (!notification.message.rows.empty()) return notification;
   state->cancellation_gate().wake_waiters();
@@ -39,19 +39,20 @@
   return std::monostate{};
 }
 
-// The transaction that shows peer controllers, by a row, how far this leader has read the ledger.
-ledger::Transaction CancellationNotifier::read_to_publication(ControllerState& state) {
-  state.on_read_to_published(steady_now());
+// Returns a transaction that writes the revision up to which this leader has read the ledger, so
+// that peer controllers learn it from the ledger.
+ledger::Transaction CancellationNotifier::read_revision_publication(ControllerState& state) {
+  state.on_read_revision_published(steady_now());
   ledger::Transaction transaction;
   transaction.transaction_id = ids_.next();
   transaction.conditions = {{ledger::kLeaderKey, state.fencing_token()}};
   transaction.changes = {
-      {ledger::kReadToKey, false, state.cancellation_gate().leader_read_to(), 0}};
+      {ledger::kReadToKey, false, state.cancellation_gate().leader_read_revision(), 0}};
   return transaction;
 }
 
-// The pending cancellations that can be sent to the leader named in the ledger cache. The
-// notifications of the others are marked as finished.
+// Returns a message with at most kMaxRowsPerMessage pending cancellations for the leader named in
+// the ledger cache. Notifications that cannot be sent to it are marked as finished.
 CancellationNotifier::Notification CancellationNotifier::next_notification(ControllerState& state) {
   const LedgerCache& ledger = state.ledger_cache();
   CancellationGate& gate = state.cancellation_gate();
@@ -60,7 +61,7 @@
   mesh::Cancelled& message = notification.message;
   if (!ledger.leader().empty()) message.fencing_token = ledger.leader_version();
   const bool reachable = peers_.contains(notification.leader);
-  for (const CancellationGate::Pending& pending : gate.pending()) {
+  for (const CancellationGate::PendingNotification& pending : gate.pending()) {
     if (message.rows.size() >= kMaxRowsPerMessage) break;
     const CachedJob* job = ledger.job(pending.job);
     // The ledger cache has to be as recent as the row: an older one may name a leader whose term
@@ -90,8 +91,8 @@
       peers_.at(notification.leader)->send_cancellations(message);
   auto state = shared_.lock();
   CancellationGate& gate = state->cancellation_gate();
-  // The acknowledgement of an older leader proves nothing. A newer leader has loaded the rows that
-  // were written before its term.
+  // The acknowledgement of an older leader does not count: the current leader may not know the
+  // rows. A newer leader has loaded the rows that were written before its term.
   const bool acknowledged = reply_token && *reply_token >= message.fencing_token;
   if (acknowledged)
     state->update_known_token(*reply_token);
--- a/src/daemon/cancellation_notifier.h
+++ b/src/daemon/cancellation_notifier.h
@@ -1,7 +1,7 @@
 #pragma once
 // Notifies the leader of cancelled jobs whose users wait for a confirmation (CancellationGate). On
-// the leader, publishes in the ledger how far it has read, for peer controllers that it does not
-// reach directly.
+// the leader, also writes to the ledger the revision up to which it has read the ledger, for peer
+// controllers that it does not reach over the mesh.
 
 #include <cstdint>
 #include <map>
@@ -35,7 +35,7 @@
   using Work = std::variant<std::monostate, ledger::Transaction, Notification>;
 
   Work wait_for_work();
-  ledger::Transaction read_to_publication(ControllerState& state);
+  ledger::Transaction read_revision_publication(ControllerState& state);
   Notification next_notification(ControllerState& state);
 
   void perform(std::monostate none);
--- a/src/daemon/cloud_reconciler.cpp
+++ b/src/daemon/cloud_reconciler.cpp
@@ -14,12 +14,12 @@
 constexpr double kTypesRateLimitWaitS = 1;  // longest wait for the rate limits
 // The interval between machine lists, as a share of the time by which the cloud's list lags.
 constexpr double kListLagFactor = 0.7;
-constexpr double kShortestListIntervalS = 2;
+constexpr double kMinListIntervalS = 2;
 // Wait of a follower, and of an unconfirmed leader that has no machine to return.
 constexpr double kPassiveIntervalS = 0.7;
 // Bounds of a leader's wait when no request is due.
 constexpr double kIdleIntervalS = 0.5;
-constexpr double kShortestIdleIntervalS = 0.05;
+constexpr double kMinIdleIntervalS = 0.05;
 
 }  // namespace
 
@@ -29,8 +29,7 @@
     : shared_(shared),
       cloud_(config.cloud, cloud_limiter),
       state_client_(config.state, state_limiters),
-      list_interval_s_(
-          std::max(kShortestListIntervalS, config.scheduler.list_lag_s * kListLagFactor)) {}
+      list_interval_s_(std::max(kMinListIntervalS, config.scheduler.list_lag_s * kListLagFactor)) {}
 
 void CloudReconciler::run() {
   while (!shared_.stopping()) {
@@ -39,13 +38,13 @@
   }
 }
 
-// Returns the next action. If that is a Wait, waits first, under the lock under which no request
-// was due, so that no wakeup is lost.
+// Returns the next action. If no request is due, waits before it returns. Checks and waits under
+// one lock, so that no wakeup in between is lost.
 CloudReconciler::Work CloudReconciler::wait_for_work() {
   auto state = shared_.lock();
   Work work{.action = next_action(*state, steady_now()), .fencing_token = state->fencing_token()};
   if (const Wait* wait = std::get_if<Wait>(&work.action))
-    shared_.wait_for(state, shared_.wakeups().cloud, wait->longest_s);
+    shared_.wait_for(state, shared_.wakeups().cloud, wait->timeout_s);
   return work;
 }
 
@@ -63,7 +62,7 @@
   if (unconfirmed) return Wait{kPassiveIntervalS};
   if (auto request = scheduler.next_rental_request(now)) return RentMachines{std::move(*request)};
   if (now >= next_list_at_) return ListMachines{};
-  return Wait{std::clamp(next_list_at_ - now, kShortestIdleIntervalS, kIdleIntervalS)};
+  return Wait{std::clamp(next_list_at_ - now, kMinIdleIntervalS, kIdleIntervalS)};
 }
 
 void CloudReconciler::perform(const Wait& /*action*/, uint64_t /*fencing_token*/) {}
@@ -118,7 +117,7 @@
 }
 
 cloud::Client::MaySend CloudReconciler::may_send(uint64_t fencing_token) {
-  return [this, fencing_token] { return shared_.term_confirmed(fencing_token); };
+  return [this, fencing_token] { return shared_.term_is_current(fencing_token); };
 }
 
 }  // namespace rookdyke
--- a/src/daemon/cloud_reconciler.h
+++ b/src/daemon/cloud_reconciler.h
@@ -28,7 +28,7 @@
  private:
   // The possible next steps: a request to the cloud, or a wait.
   struct Wait {
-    double longest_s = 0;
+    double timeout_s = 0;
   };
   struct FetchTypes {
     bool store_in_ledger = false;  // as leader, while the ledger holds no types
@@ -55,7 +55,8 @@
   void perform(const RentMachines& action, uint64_t fencing_token);
   void perform(const ListMachines& action, uint64_t fencing_token);
   void store_types(const std::vector<MachineType>& types, uint64_t fencing_token);
-  // A check, made right before a request is sent, that the term of this token is still confirmed.
+  // Returns a predicate that cloud::Client calls right before it sends a request: whether the term
+  // with this fencing token is current (SharedState::term_is_current).
   cloud::Client::MaySend may_send(uint64_t fencing_token);
 
   SharedState& shared_;
--- a/src/daemon/command_dispatcher.cpp
+++ b/src/daemon/command_dispatcher.cpp
@@ -45,35 +45,34 @@
   }
 }
 
-// The next command; empty if there was none and the function has waited instead.
+// Returns the next call, or empty after waiting for one.
 std::optional<CommandDispatcher::Work> CommandDispatcher::wait_for_work() {
   auto state = shared_.lock();
-  std::optional<DirectCommand> command;
-  if (state->may_decide(steady_now()))
-    command = state->scheduler()->next_direct_command(steady_now());
-  if (!command) {
+  std::optional<DirectCommand> call;
+  if (state->may_decide(steady_now())) call = state->scheduler()->next_direct_command(steady_now());
+  if (!call) {
     shared_.wait_for(state, shared_.wakeups().commands, kIdleIntervalS);
     return std::nullopt;
   }
-  return Work{std::move(*command), state->fencing_token()};
+  return Work{std::move(*call), state->fencing_token()};
 }
 
 CommandDispatcher::Result CommandDispatcher::send(const Work& work) {
-  const auto address = parse_address(work.command.addr);
+  const auto address = parse_address(work.call.addr);
   if (!address) return {.outcome_known = true, .sent = true, .heartbeat = std::nullopt};
   httplib::Client http(address->host, address->port);
   http.set_tcp_nodelay(true);
   http.set_connection_timeout(kConnectTimeout);
   http.set_read_timeout(kTransferTimeout);
   http.set_write_timeout(kTransferTimeout);
-  const std::string body = wire::pack(wire::direct_command(work.fencing_token, work.command));
+  const std::string body = wire::pack(wire::direct_command(work.fencing_token, work.call));
   // Checked right before sending: this process may have been suspended or have stepped down.
-  if (!shared_.term_confirmed(work.fencing_token))
+  if (!shared_.term_is_current(work.fencing_token))
     return {.outcome_known = true, .sent = false, .heartbeat = std::nullopt};
   const auto response = http.Post(wire::kDirectCommandPath, body, "application/msgpack");
   Result result;
   if (response) {
-    // With 409 and 400 the worker refuses the command and will not execute it later.
+    // With 409 and 400 the worker refuses the call and will not execute its commands later.
     result.outcome_known =
         response->status == kOk || response->status == kConflict || response->status == kBadRequest;
     if (const auto message = wire::unpack(response->body))
@@ -82,7 +81,7 @@
     // Without a connection nothing was sent, and one that timed out is not established later.
     result.outcome_known = response.error() == httplib::Error::Connection ||
                            response.error() == httplib::Error::ConnectionTimeout;
-    spdlog::debug("direct commands to {}: {}", work.command.addr,
+    spdlog::debug("direct commands to {} failed: {}", work.call.addr,
                   httplib::to_string(response.error()));
   }
   return result;
@@ -92,7 +91,7 @@
   auto state = shared_.lock();
   Scheduler* scheduler = state->scheduler_of_term(work.fencing_token);
   if (!scheduler) return;
-  scheduler->on_direct_command_result(work.command, result.outcome_known, result.heartbeat,
+  scheduler->on_direct_command_result(work.call, result.outcome_known, result.heartbeat,
                                       steady_now());
   if (result.sent && scheduler->needs_round()) shared_.wakeups().scheduling.notify_one();
 }
--- a/src/daemon/command_dispatcher.h
+++ b/src/daemon/command_dispatcher.h
@@ -1,7 +1,7 @@
 #pragma once
-// Sends the scheduler's direct commands to workers: commands sent on a connection of the leader's
-// own instead of in a heartbeat reply. Reports their results to the scheduler if the term still
-// runs.
+// Sends the scheduler's direct commands to workers. Direct commands are sent on a connection that
+// the leader opens, not in a heartbeat reply. Their results are passed to the scheduler if the term
+// has not ended.
 
 #include <cstdint>
 #include <optional>
@@ -20,13 +20,14 @@
 
  private:
   struct Work {
-    DirectCommand command;
-    uint64_t fencing_token = 0;  // of the term in which the command was issued
+    DirectCommand call;
+    uint64_t fencing_token = 0;  // of the term in which the call was requested
   };
   struct Result {
-    // The worker executed or refused the command, or never received it: it is not executed later.
+    // The worker executed or refused the commands, or never received them: they are not executed
+    // later.
     bool outcome_known = false;
-    bool sent = true;                    // false: withheld because the term is no longer confirmed
+    bool sent = true;  // false only if the term has ended or its lease state is not current
     std::optional<Heartbeat> heartbeat;  // the worker's state, if the response carries it
   };
 
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -25,7 +25,8 @@
   return settings.next_limits->write_rps;
 }
 
-// Logs a request that was slow or ended with a 5xx status, when it goes out of scope.
+// Logs a request that was slow or ended with a 5xx status. Logs in the destructor, when the request
+// has been handled.
 class SlowRequestLog {
  public:
   SlowRequestLog(const httplib::Request& request, const httplib::Response& response)
--- a/src/daemon/controller_state.cpp
+++ b/src/daemon/controller_state.cpp
@@ -23,7 +23,7 @@
 // An unconfirmed leader without contact to any peer controller for this long is more likely
 // partitioned than affected by an outage: it leaves its workers to the leader that the peers elect.
 constexpr double kIsolationTimeoutS = 5;
-constexpr double kReadToPublishIntervalS = 0.6;
+constexpr double kReadRevisionPublishIntervalS = 0.6;
 
 std::vector<std::string> labels_of(const std::vector<Sibling>& siblings) {
   std::vector<std::string> labels;
@@ -115,7 +115,7 @@
     if (role_ == Role::unconfirmed) set_role(Role::leading, "the lease is renewed");
   } else if (outcome == state::Client::Renewal::ended) {
     step_down(Role::follower, "the lease ended");
-  } else if (!is_lease_valid(now)) {
+  } else if (!is_lease_unexpired(now)) {
     if (role_ == Role::leading) set_role(Role::unconfirmed, "the lease could not be renewed");
     if (now - lease_clock_.renewed_at() > kMaxUnconfirmedS)
       step_down(Role::follower, "lease renewals failed for too long");
@@ -140,27 +140,27 @@
   const double stall_s = lease_clock_.detect_stall(now);
   if (stall_s <= 0) return;
   spdlog::warn("this process was suspended for {:.1f} s", stall_s);
-  // What was not received during the suspension does not count as missed by workers and peers.
+  // Heartbeats and views that did not arrive during the suspension do not count as missed.
   if (scheduler_) scheduler_->on_process_stall(stall_s, now);
   last_peer_contact_ = std::min(now, last_peer_contact_ + stall_s);
   wakeups_.election.notify_all();
 }
 
-bool ControllerState::is_lease_valid(double now) const {
+bool ControllerState::is_lease_unexpired(double now) const {
   return lease_clock_.is_unexpired(now, config_.lease_ttl_s);
 }
 
-bool ControllerState::lease_confirmed(double now) {
+bool ControllerState::lease_state_is_current(double now) {
   check_for_stall(now);
-  return leads() && lease_clock_.lease_confirmed(now, config_.lease_ttl_s);
+  return leads() && lease_clock_.lease_state_is_current(now, config_.lease_ttl_s);
 }
 
 bool ControllerState::may_decide(double now) {
-  return role_ == Role::leading && scheduler_ && lease_confirmed(now);
+  return role_ == Role::leading && scheduler_ && lease_state_is_current(now);
 }
 
 bool ControllerState::is_unconfirmed_leader(double now) {
-  return role_ == Role::unconfirmed && scheduler_ && lease_confirmed(now);
+  return role_ == Role::unconfirmed && scheduler_ && lease_state_is_current(now);
 }
 
 // ---------------------------------------------------------------- ledger
@@ -223,11 +223,11 @@
          staleness_bound(config_.scheduler.cancel_s, config_.scheduler.lease_s);
 }
 
-bool ControllerState::must_publish_read_to(double now) const {
+bool ControllerState::must_publish_read_revision(double now) const {
   if (role_ != Role::leading ||
       ledger_cache_.last_cancellation_version() <= ledger_cache_.read_to())
     return false;
-  if (now - read_to_published_at_ < kReadToPublishIntervalS) return false;
+  if (now - read_revision_published_at_ < kReadRevisionPublishIntervalS) return false;
   return write_share_.reachable_siblings(now) < config_.nodes - 1;
 }
 
--- a/src/daemon/controller_state.h
+++ b/src/daemon/controller_state.h
@@ -65,23 +65,24 @@
   // The scheduler of the term with this fencing token; null if that term has ended.
   Scheduler* scheduler_of_term(uint64_t fencing_token);
 
-  // -- Lease. The process may be suspended at any line while its clocks keep running: whatever was
-  // read, decided or queued before is not acted on until a lease renewal has been attempted again.
+  // -- Lease. The process may be suspended at any point while its clocks keep running. What was
+  // read, decided or queued before a suspension must not be acted on until a lease renewal has been
+  // attempted after it.
 
   // Checks whether this process was suspended. Must be called several times a second.
   void check_for_stall(double now);
   // Records that a lease requested at `sent_at` was granted and the leader key written under it.
   void on_lease_granted(double sent_at) { lease_clock_.on_renewed(sent_at); }
-  // Whether the lease of the leader key has not expired.
-  bool is_lease_valid(double now) const;
+  // Whether the lease of the leader key has not expired (LeaseClock::is_unexpired).
+  bool is_lease_unexpired(double now) const;
   // Whether this controller leads, and either its lease has not expired or a renewal was attempted
-  // since the process was last suspended.
-  bool lease_confirmed(double now);
-  // Whether this controller leads with a confirmed lease: it may schedule, write and send
-  // commands.
+  // since the process was last suspended. Can be true of an unconfirmed leader.
+  bool lease_state_is_current(double now);
+  // Whether the role is leading and the lease state is current: this controller may schedule, write
+  // and send commands.
   bool may_decide(double now);
-  // Whether this controller leads but could not renew its lease: it may still stop cancelled
-  // work, but must not schedule.
+  // Whether the role is unconfirmed and the lease state is current: this controller may still stop
+  // cancelled work, but must not schedule.
   bool is_unconfirmed_leader(double now);
 
   // -- Ledger.
@@ -120,13 +121,13 @@
 
   CancellationGate& cancellation_gate() { return cancellation_gate_; }
   CancellationStaleness& cancellation_staleness() { return cancellation_staleness_; }
-  // Whether the staleness of this controller's knowledge of cancellations is within the staleness
-  // bound, so that as leader it may keep workers' leases alive (leadership/cancellations.h).
+  // Whether this controller's knowledge of cancellations is no older than staleness_bound()
+  // (leadership/cancellations.h). Only then may it extend workers' leases as leader.
   bool is_within_staleness_bound(double now) const;
-  // Whether this leader has to publish in the ledger the revision that it has read up to, because a
-  // peer controller that is not reachable over the mesh may be waiting for it.
-  bool must_publish_read_to(double now) const;
-  void on_read_to_published(double now) { read_to_published_at_ = now; }
+  // Whether this leader has to write to the ledger the revision up to which it has read it, because
+  // a peer controller that is not reachable over the mesh may be waiting for that revision.
+  bool must_publish_read_revision(double now) const;
+  void on_read_revision_published(double now) { read_revision_published_at_ = now; }
 
   // -- Limits of the state service.
 
@@ -135,7 +136,8 @@
   // applies it.
   void update_write_share(double now);
   bool size_limits_lowered() const { return size_limits_lowered_; }
-  // Applies the lowered size limits of the state service, as reported by a peer controller.
+  // Applies the lowered size limits of the state service (Settings::next_limits) after a peer
+  // controller has reported that they are in force.
   void apply_lowered_size_limits();
   // Records that the scheduler has detected the lowered size limits itself.
   void record_lowered_size_limits() { size_limits_lowered_ = true; }
@@ -167,7 +169,7 @@
 
   CancellationGate cancellation_gate_;
   CancellationStaleness cancellation_staleness_;
-  double read_to_published_at_ = -1e9;
+  double read_revision_published_at_ = -1e9;
 
   net::WriteShare write_share_;
   bool size_limits_lowered_ = false;
--- a/src/daemon/heartbeat_endpoint.cpp
+++ b/src/daemon/heartbeat_endpoint.cpp
@@ -59,13 +59,14 @@
   if (state.role() == Role::unconfirmed && state.is_isolated(now)) return unavailable("cut off");
   if (state.leads() && !state.is_within_staleness_bound(now))
     return unavailable("jobs may have been cancelled unheard");
-  // After a suspension of this process its lease is unconfirmed until the next renewal.
-  if (state.leads() && !state.lease_confirmed(now)) return unavailable("not sure to lead");
+  // After a suspension of this process an expired lease must not be relied on until the next
+  // renewal attempt.
+  if (state.leads() && !state.lease_state_is_current(now)) return unavailable("not sure to lead");
   return std::nullopt;
 }
 
-// The reply with the leader's commands. Empty if this controller does not lead, or has lost its
-// leadership, also if it learns so from this heartbeat.
+// The reply with the leader's commands. Empty if this controller does not lead or has lost its
+// leadership; the heartbeat itself may show that it has.
 std::optional<HeartbeatEndpoint::LeaderReply> HeartbeatEndpoint::reply_as_leader(
     ControllerState& state, const Heartbeat& heartbeat, double now) {
   Scheduler* scheduler = state.scheduler();
--- a/src/daemon/leader_election.cpp
+++ b/src/daemon/leader_election.cpp
@@ -144,7 +144,7 @@
   const double now = steady_now();
   state->check_for_stall(now);
   state->on_lease_granted(key.requested_at);
-  if (!state->is_lease_valid(now)) {
+  if (!state->is_lease_unexpired(now)) {
     // The election took too long or the process was suspended: another controller may lead by now.
     state->abandon_campaign("lease expired during the election");
     lease_held_ = true;
--- a/src/daemon/leader_election.h
+++ b/src/daemon/leader_election.h
@@ -1,7 +1,7 @@
 #pragma once
-// Campaigns for the leader key, renews its lease, and releases the lease when the controller stops
-// or no longer leads. The state service deletes the key when its lease ends. ControllerState
-// performs the resulting role transitions.
+// Campaigns for the leader key, renews its lease, and drops the lease when the controller stops or
+// no longer leads. The state service deletes the key when its lease ends. ControllerState performs
+// the resulting role transitions.
 
 #include <cstdint>
 #include <optional>
--- a/src/daemon/ledger_watcher.cpp
+++ b/src/daemon/ledger_watcher.cpp
@@ -98,7 +98,7 @@
     const auto head = client_.range(ledger::kPrefix, "", 1);
     if (!head) return false;
     if (head->revision > revision_ + kMaxRevisionLag) {
-      spdlog::info("ledger: {} changes behind, reloading", head->revision - revision_);
+      spdlog::info("ledger cache is {} revisions behind, reloading", head->revision - revision_);
       loaded_ = false;
     }
   }
@@ -153,7 +153,7 @@
   CancellationGate& gate = state->cancellation_gate();
   if (state->leads()) gate.on_leader_read(revision_);
   gate.on_leader_read(ledger.read_to());
-  if (state->must_publish_read_to(now)) gate.wake_notifier();
+  if (state->must_publish_read_revision(now)) gate.wake_notifier();
   if (!state->leads() && ledger.leader().empty()) shared_.wakeups().election.notify_all();
 }
 
--- a/src/daemon/ledger_watcher.h
+++ b/src/daemon/ledger_watcher.h
@@ -1,8 +1,8 @@
 #pragma once
 // Keeps the ledger cache up to date: loads all rows, then polls the state service's watch for
-// changes, and completes read barriers. A watch request without a hold time returns the current
-// revision and all changes up to it, so each one completes the barrier of every caller that was
-// waiting when it was sent.
+// changes, and completes read barriers. The watch requests have a hold time of 0: the state service
+// responds at once with the current revision and all changes up to it. Each response therefore
+// completes the barrier of every caller that was waiting when the request was sent.
 
 #include <cstdint>
 
--- a/src/daemon/mesh_endpoint.cpp
+++ b/src/daemon/mesh_endpoint.cpp
@@ -27,15 +27,15 @@
 }
 
 // Applies rows of cancelled jobs. Returns the fencing token of the term in which their tasks will
-// be stopped, or 0 if this controller has no confirmed lease as leader or a row is not that of a
-// cancelled job.
+// be stopped. Returns 0 if this controller does not lead, its lease state is not current, or a row
+// is not that of a cancelled job.
 uint64_t MeshEndpoint::apply_cancellations(const mesh::Cancelled& cancelled) {
   auto state = shared_.lock();
   if (state->leads() && cancelled.fencing_token > state->fencing_token())
     state->step_down(Role::follower, "a peer controller knows a newer leader");
   const Scheduler* scheduler = state->scheduler();
   if (!state->leads() || !scheduler || scheduler->has_lost_leadership() ||
-      !state->lease_confirmed(steady_now()))
+      !state->lease_state_is_current(steady_now()))
     return 0;
   for (const mesh::Cancelled::Row& message_row : cancelled.rows) {
     const auto row = ledger::decode_job(message_row.job, message_row.value);
--- a/src/daemon/peer_exchange.cpp
+++ b/src/daemon/peer_exchange.cpp
@@ -77,7 +77,7 @@
   mesh::View view;
   view.label = config_.scheduler.label;
   view.incarnation = ids_.incarnation();
-  view.read_to = state->cancellation_gate().leader_read_to();
+  view.read_to = state->cancellation_gate().leader_read_revision();
   view.state_ok =
       steady_now() - reachability_.last_state_service_response_at() < kStateServiceFreshnessS;
   view.write_demand = state->write_share().own_demand();
--- a/src/daemon/reachability.h
+++ b/src/daemon/reachability.h
@@ -18,7 +18,7 @@
 
   // A peer controller reported that the state service responds to it.
   void on_peer_reaches_state_service(double now) { last_peer_report_at_ = now; }
-  // Whether a peer controller has reported so recently.
+  // Whether a peer controller has reported this recently.
   bool peers_reach_state_service(double now) const {
     return now - last_peer_report_at_ < kFreshnessS;
   }
--- a/src/daemon/replica_ledger.cpp
+++ b/src/daemon/replica_ledger.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr size_t kMaxConnections = 4;  // to the state service
-// A submission that gets no connection and no share of the rate limits within this time exceeds
-// this controller's capacity. It is refused then, before its user's request times out.
+// Longest wait for a connection, and for each attempt to send under the rate limits. A request that
+// waits longer exceeds this controller's capacity; it is refused before it times out at the user.
 constexpr double kQueueTimeoutS = 0.9;
 constexpr double kMinCommitTimeS = 0.05;
 constexpr double kNotificationTimeoutS = 1.2;  // to notify the leader of a cancellation
@@ -54,21 +54,21 @@
   if (read_barrier_.failing()) return std::nullopt;
   state::ConnectionPool::Connection connection(connections_, kQueueTimeoutS);
   if (!connection) return std::nullopt;
-  bool repeat = false;
+  bool resend = false;
   while (true) {
     const double remaining_s = deadline - steady_now();
     if (remaining_s <= kMinCommitTimeS) return std::nullopt;
     const double wait_s = std::min(remaining_s, kQueueTimeoutS);
-    const ledger::Result result = repeat ? connection->commit_repeated(transaction, wait_s)
+    const ledger::Result result = resend ? connection->commit_repeated(transaction, wait_s)
                                          : connection->commit(transaction, wait_s);
     if (result.outcome == Outcome::unknown) {
       if (read_barrier_.failing()) return std::nullopt;
-      repeat = true;
+      resend = true;
       continue;
     }
     const bool not_executed =
         result.outcome == Outcome::refused || result.outcome == Outcome::rejected;
-    if (not_executed && repeat)
+    if (not_executed && resend)
       return std::nullopt;  // indeterminate: an earlier copy may be applied
     return result;
   }
@@ -78,25 +78,26 @@
 // other code decides this. Any controller that may reply to heartbeats has to know the
 // cancellation, because otherwise it would keep the workers' leases and the job's tasks alive
 // (leadership/cancellations.h).
-bool ReplicaLedger::may_confirm_cancelled(const std::string& id, double deadline, uint64_t leader) {
+bool ReplicaLedger::may_confirm_cancelled(const std::string& id, double deadline,
+                                          uint64_t leader_token) {
   auto state = shared_.lock();
   const CachedJob* job = state->ledger_cache().job(id);
   if (!job || job->row.status != ledger::JobStatus::cancelled) return false;
   const uint64_t version = job->version;
   CancellationGate& gate = state->cancellation_gate();
   if (gate.is_known(id, version)) return true;
-  // A leader's scheduler received the row through the ledger cache. The lease must be confirmed,
-  // because this controller may have lost leadership while the process was suspended.
+  // A leader's scheduler received the row through the ledger cache. The lease state must be
+  // current, because this controller may have lost leadership while the process was suspended.
   if (state->leads()) {
     const Scheduler* scheduler = state->scheduler();
     const bool known = scheduler && !scheduler->has_lost_leadership() &&
-                       state->lease_confirmed(steady_now()) &&
+                       state->lease_state_is_current(steady_now()) &&
                        state->fencing_token() >= state->known_token();
     if (known) gate.acknowledge(id, version);
     return known;
   }
   const double timeout_s = std::min(deadline - steady_now(), kNotificationTimeoutS);
-  return gate.wait_until_known(state.mutex_lock(), id, version, leader, timeout_s, [&] {
+  return gate.wait_until_known(state.mutex_lock(), id, version, leader_token, timeout_s, [&] {
     return read_barrier_.failing() || state->ledger_cache().leader().empty();
   });
 }
--- a/src/daemon/replica_ledger.h
+++ b/src/daemon/replica_ledger.h
@@ -1,6 +1,6 @@
 #pragma once
-// The JobLedger of this controller: reads users' requests from the ledger cache, and commits their
-// transactions to the state service.
+// The JobLedger of this controller: serves the reads of users' requests from the ledger cache, and
+// commits their transactions to the state service.
 
 #include <functional>
 #include <optional>
@@ -30,7 +30,8 @@
   std::optional<ledger::Result> commit(const ledger::Transaction& transaction,
                                        double deadline) override;
   void apply_committed(const wire::Row& row) override;
-  bool may_confirm_cancelled(const std::string& job, double deadline, uint64_t leader) override;
+  bool may_confirm_cancelled(const std::string& job, double deadline,
+                             uint64_t leader_token) override;
   bool siblings_are_served() const override;
 
  private:
--- a/src/daemon/scheduling_loop.cpp
+++ b/src/daemon/scheduling_loop.cpp
@@ -19,7 +19,7 @@
 constexpr double kRoundIntervalFactor = 12;
 constexpr double kSummaryIntervalS = 10;
 
-constexpr const char* kLostLeadership = "the scheduler lost the leader key";
+constexpr const char* kLostLeadership = "the scheduler has lost leadership";
 
 }  // namespace
 
--- a/src/daemon/scheduling_loop.h
+++ b/src/daemon/scheduling_loop.h
@@ -31,8 +31,8 @@
   ResourceLimitWarnings limit_warnings_;
   double last_round_at_ = 0;  // start of the last round
   double next_summary_at_ = 0;
-  std::optional<size_t>
-      machine_count_to_check_;  // passed to limit_warnings_ once the lock is released
+  // Passed to limit_warnings_ once the lock is released.
+  std::optional<size_t> machine_count_to_check_;
 };
 
 }  // namespace rookdyke
--- a/src/daemon/shared_state.cpp
+++ b/src/daemon/shared_state.cpp
@@ -17,14 +17,16 @@
   wakeup.wait_for(lock.mutex_lock(), timeout);
 }
 
-bool SharedState::term_confirmed(uint64_t fencing_token) {
+bool SharedState::term_is_current(uint64_t fencing_token) {
   auto state = lock();
-  return state->fencing_token() == fencing_token && state->lease_confirmed(steady_now());
+  return state->fencing_token() == fencing_token && state->lease_state_is_current(steady_now());
 }
 
 bool SharedState::stop() {
   if (stopping_.exchange(true)) return false;
-  auto state = lock();  // every thread that saw `stopping_` unset is waiting by now
+  // A thread that saw `stopping_` unset in wait_for() released this lock only to wait, so the
+  // notifications reach it.
+  auto state = lock();
   wakeups_.notify_all();
   state->cancellation_gate().stop();
   return true;
--- a/src/daemon/shared_state.h
+++ b/src/daemon/shared_state.h
@@ -32,9 +32,10 @@
   // immediately while the controller is stopping.
   void wait_for(Lock& lock, std::condition_variable& wakeup, double timeout_s);
   Wakeups& wakeups() { return wakeups_; }
-  // Whether this controller still leads with that token and a confirmed lease. Takes the lock. Must
-  // be checked right before sending anything that was decided in that term.
-  bool term_confirmed(uint64_t fencing_token);
+  // Whether the term with this fencing token has not ended and its lease state is current
+  // (ControllerState::lease_state_is_current). Takes the lock. Must be checked right before sending
+  // anything that was decided in that term.
+  bool term_is_current(uint64_t fencing_token);
 
   // Lock-free.
   bool stopping() const { return stopping_; }
--- a/src/leadership/cancellations.h
+++ b/src/leadership/cancellations.h
@@ -21,28 +21,29 @@
  public:
   // Records that a leader has read the ledger up to `revision`. Later leaders load the ledger, so
   // they know at least as much.
-  void read_to(uint64_t revision) {
-    if (revision <= read_to_) return;
-    read_to_ = revision;
-    std::erase_if(acknowledged_, [this](const auto& e) { return e.second <= read_to_; });
+  void on_leader_read(uint64_t revision) {
+    if (revision <= leader_read_revision_) return;
+    leader_read_revision_ = revision;
+    std::erase_if(acknowledged_,
+                  [this](const auto& e) { return e.second <= leader_read_revision_; });
   }
-  uint64_t read_to() const { return read_to_; }
+  uint64_t leader_read_revision() const { return leader_read_revision_; }
   // Records that `version` of the job's row is known to the controller that held the leader key
   // when the row was written, or to a later leader.
   void acknowledge(const std::string& job, uint64_t version) {
-    if (version <= read_to_) return;
+    if (version <= leader_read_revision_) return;
     uint64_t& known = acknowledged_[job];
     known = std::max(known, version);
   }
   // Whether the cancellation in `version` of the job's row may be confirmed to users.
   bool contains(const std::string& job, uint64_t version) const {
-    if (version <= read_to_) return true;
+    if (version <= leader_read_revision_) return true;
     auto it = acknowledged_.find(job);
     return it != acknowledged_.end() && it->second >= version;
   }
 
  private:
-  uint64_t read_to_ = 0;
+  uint64_t leader_read_revision_ = 0;
   std::unordered_map<std::string, uint64_t> acknowledged_;  // version of the row, by job
 };
 
@@ -65,17 +66,18 @@
     return CancellationStaleness({}, std::numeric_limits<double>::infinity());
   }
 
-  // A request sent at `sent` has read the ledger or renewed the lease.
-  void advance_to(double sent) { known_until_ = std::max(known_until_, sent); }
-  // `peer` responded to a request sent at `sent`. `incarnation` identifies its process (empty: not
-  // given), `fencing_token` is the highest that it knows, `own_token` the one of this controller
-  // (0: none).
+  // Records that every cancellation confirmed before `time` is known, for one of the reasons above.
+  void advance_to(double time) { known_until_ = std::max(known_until_, time); }
+  // `peer` responded to a request sent at `sent_at`. `incarnation` identifies its process (empty:
+  // not given), `fencing_token` is the highest that it knows, `own_token` the one of this
+  // controller (0: none).
   void on_peer_response(const std::string& peer, const std::string& incarnation,
-                        uint64_t fencing_token, uint64_t own_token, double sent, double now) {
+                        uint64_t fencing_token, uint64_t own_token, double sent_at, double now) {
     PeerStatus& status = peer_statuses_[peer];
     // What an earlier process of the peer confirmed is unknown.
-    if (incarnation.empty() || status.incarnation != incarnation) status = {incarnation, now, sent};
-    status.until = std::max(status.until, sent);
+    if (incarnation.empty() || status.incarnation != incarnation)
+      status = {incarnation, now, sent_at};
+    status.last_sent_at = std::max(status.last_sent_at, sent_at);
     status.fencing_token = fencing_token;
     if (own_token > 0) advance_from_peers(own_token);
   }
@@ -85,8 +87,9 @@
  private:
   struct PeerStatus {
     std::string incarnation;
-    // When this incarnation first responded, and when its latest request with a response was sent.
-    double since = 0, until = 0;
+    // When the first response of this incarnation arrived, and when the latest request to which it
+    // responded was sent.
+    double first_response_at = 0, last_sent_at = 0;
     uint64_t fencing_token = 0;
   };
   void advance_from_peers(uint64_t own_token) {
@@ -96,10 +99,10 @@
       auto it = peer_statuses_.find(peer);
       if (it == peer_statuses_.end()) return;
       const PeerStatus& status = it->second;
-      if (status.incarnation.empty() || status.since > known_until_ ||
+      if (status.incarnation.empty() || status.first_response_at > known_until_ ||
           status.fencing_token > own_token)
         return;
-      until = std::min(until, status.until);
+      until = std::min(until, status.last_sent_at);
     }
     advance_to(until);
   }
--- a/src/leadership/lease_clock.h
+++ b/src/leadership/lease_clock.h
@@ -1,9 +1,10 @@
 #pragma once
 // Detects that this process was suspended while the steady clock advanced, and tells whether the
-// leader lease may still be relied on. A process can be suspended at any point for many times the
-// length of its lease, so what was read, decided or queued before a suspension is valid only after
-// another attempt to renew the lease. No function reads a clock: times are passed in, in seconds of
-// the steady clock. Not thread-safe: the owner's lock must be held.
+// last known state of the leader lease may still be relied on. A process can be suspended at any
+// point for many times the length of its lease, so what was read, decided or queued before a
+// suspension is valid only after another attempt to renew the lease. No function reads a clock:
+// times are passed in, in seconds of the steady clock. Not thread-safe: the owner's lock must be
+// held.
 
 #include <algorithm>
 
@@ -28,14 +29,14 @@
     resumed_at_ = now;
     return unchecked_s;
   }
-  // The request sent at `sent` has granted or renewed the lease.
-  void on_renewed(double sent) {
-    renewed_at_ = std::max(renewed_at_, sent);
-    on_renewal_attempted(sent);
+  // The request sent at `sent_at` has granted or renewed the lease.
+  void on_renewed(double sent_at) {
+    renewed_at_ = std::max(renewed_at_, sent_at);
+    on_renewal_attempted(sent_at);
   }
-  // The renewal sent at `sent` has succeeded or failed.
-  void on_renewal_attempted(double sent) {
-    if (sent > resumed_at_) attempted_at_ = sent;
+  // The renewal sent at `sent_at` has succeeded or failed.
+  void on_renewal_attempted(double sent_at) {
+    if (sent_at > resumed_at_) attempted_at_ = sent_at;
   }
   // When the last successful request was sent.
   double renewed_at() const { return renewed_at_; }
@@ -46,7 +47,7 @@
   // Whether a leader may continue to reply to heartbeats. After the lease has expired it may if
   // renewals failed while the process was running (an outage of the state service), but not if the
   // process was suspended after the last attempt: another leader may have been elected.
-  bool lease_confirmed(double now, double ttl) const {
+  bool lease_state_is_current(double now, double ttl) const {
     return is_unexpired(now, ttl) || attempted_at_ > resumed_at_;
   }
 
--- a/src/leadership/role.h
+++ b/src/leadership/role.h
@@ -6,8 +6,9 @@
 
 namespace rookdyke {
 
-// follower -> campaigning -> leading <-> unconfirmed -> follower
-//                            leading -> cooldown -> follower
+// follower <-> campaigning -> leading <-> unconfirmed
+// leading, unconfirmed -> follower
+// leading -> cooldown -> follower
 enum class Role : uint8_t {
   follower,
   campaigning,
--- a/src/workers/direct_commands.cpp
+++ b/src/workers/direct_commands.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Replies to heartbeats carry the commands in the meantime.
+// After a call of indeterminate outcome the machine gets no calls for this long; replies to its
+// heartbeats carry the commands in the meantime.
 constexpr double kBackOffAfterFailureS = 5;
 // A machine whose last heartbeat is older gets no direct commands: a call that receives no response
 // leaves starts that may still be executed.
@@ -134,8 +135,8 @@
     return false;
   }
   const bool needs_round = heartbeats_.on_heartbeat(heartbeat, now).needs_round;
-  // The worker may still send its heartbeats elsewhere: it counts as missing heartbeats no earlier
-  // than it would without this response.
+  // The worker may still send its heartbeats to another controller. Until it is expected to send
+  // them to this one, it must not count as missing heartbeats.
   machine.last_heartbeat = std::max(machine.last_heartbeat, announcer_.heartbeats_expected_by());
   return needs_round;
 }
--- a/src/workers/direct_commands.h
+++ b/src/workers/direct_commands.h
@@ -1,12 +1,13 @@
 #pragma once
 // Chooses the direct commands to workers: stops, and starts of durable attempts, which need not
-// wait for the reply to the next heartbeat. At most one call per machine is in flight. The machines
-// come from PendingCommands; when none of them can be called, TokenAnnouncer may choose one.
-// Commands that a call does not deliver are sent with the reply to the machine's next heartbeat.
+// wait for the reply to the next heartbeat. A call is one request to a worker with any number of
+// commands (DirectCommand); at most one call per machine is in flight. The machines come from
+// PendingCommands; when none of them can be called, TokenAnnouncer may choose one. Commands that a
+// call does not deliver are sent with the reply to the machine's next heartbeat.
 //
-// Called by the daemon's threads for direct commands, through the scheduler. Guarantees that a
-// start whose call has an indeterminate outcome stays recorded (Machine::unanswered_starts,
-// Attempt::direct) for as long as a delayed copy of it may be executed.
+// Called by the daemon's CommandDispatcher through the scheduler. Guarantees that a start whose
+// call has an indeterminate outcome stays recorded (Machine::unanswered_starts, Attempt::direct)
+// for as long as a delayed copy of it may be executed.
 
 #include <map>
 #include <optional>
@@ -28,10 +29,10 @@
 
 class DirectCommands {
  public:
-  // All must outlive this object. `started`: when this leader's term began.
+  // All references must outlive this object. `term_started_at`: when this leader's term began.
   DirectCommands(const Settings& settings, const LeadershipClaim& claim, JobTable& jobs,
                  MachineTable& machines, PendingCommands& pending, const StartPermission& starts,
-                 HeartbeatHandler& heartbeats, TaskReconciler& reconciler, double started)
+                 HeartbeatHandler& heartbeats, TaskReconciler& reconciler, double term_started_at)
       : settings_(settings),
         claim_(claim),
         jobs_(jobs),
@@ -40,7 +41,7 @@
         starts_(starts),
         heartbeats_(heartbeats),
         reconciler_(reconciler),
-        announcer_(settings, machines, started) {}
+        announcer_(settings, machines, term_started_at) {}
 
   // Returns the next call to make, if any. Its outcome must be passed to on_result().
   std::optional<DirectCommand> next(double now);
--- a/src/workers/fault_detector.cpp
+++ b/src/workers/fault_detector.cpp
@@ -31,7 +31,8 @@
          job.errors > 2 * kFaultyJobAfterMachines;
 }
 
-// Backs the job off, and clears its failures from the machines that it failed on.
+// Extends the job's back-off, and no longer counts its failures against the machines on which it
+// failed.
 void FaultDetector::record_faulty_job(Job& job, double now) {
   const double wait = std::min(
       kMaxBackOffS, kFaultyJobBackOffS * std::exp2(std::min(job.errors, kMaxBackOffDoublings)));
--- a/src/workers/start_permission.h
+++ b/src/workers/start_permission.h
@@ -11,8 +11,8 @@
  public:
   void allow_starts(bool allowed) { starts_allowed_ = allowed; }
 
-  // Whether the attempt is durable and not to be stopped, its job is not finished and, for a gang,
-  // all its attempts are durable.
+  // Whether starts are allowed, the attempt is durable, not yet listed by its worker and not to be
+  // stopped, its job is not finished and, for a gang, all attempts of the job are durable.
   bool may_start(const Job& job, const Attempt& attempt) const {
     if (attempt.state != AttemptState::placed || attempt.stop) return false;
     if (job.is_finished() || !starts_allowed_) return false;
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -82,8 +82,8 @@
   return same ? &attempt : nullptr;
 }
 
-// The end of such an attempt is durable already (invariant 4 counts its exit), or its job is
-// finished.
+// Handles a listed attempt that the leader does not have on this machine: its end is durable
+// already, so its exit has been counted (invariant 4), or its job is finished.
 void TaskReconciler::handle_unknown_task(Machine& machine, const TaskStatus& status,
                                          Findings& findings) {
   if (status.phase != TaskPhase::exited) {
@@ -161,7 +161,8 @@
                                              Findings& findings, double now) {
   if (attempt.state == AttemptState::proposed) return;
   if (attempt.state != AttemptState::placed) {
-    // An earlier heartbeat listed the attempt, and the worker has dropped it without a command.
+    // An earlier heartbeat listed the attempt, and the worker no longer lists it although it was
+    // not commanded to forget it.
     lifecycle_.end(job, attempt.task, ExitCause::none, now, "worker no longer lists it");
     return;
   }
--- a/src/workers/token_announcer.cpp
+++ b/src/workers/token_announcer.cpp
@@ -7,27 +7,27 @@
 
 namespace {
 
-// After a leader's start. By then, workers whose connection to the previous leader was closed begin
-// to send heartbeats by themselves.
+// Delay of the first announcement after the start of the term. By then, workers whose connection to
+// the previous leader was closed send heartbeats to this leader without an announcement.
 constexpr double kFirstAnnouncementDelayS = 1;
 // Between two calls to the same machine.
 constexpr double kRetryIntervalS = 3;
 // Between two searches for a machine to call that find none.
 constexpr double kSearchIntervalS = 0.5;
 constexpr int kMaxAnnouncements = 4;
-// With this many machines called without success, the other workers are given time to send
-// heartbeats by themselves: each call without a response occupies a thread that direct commands
-// need.
+// After this many calls without success, no other machine is called until heartbeats_expected_by():
+// each call without a response occupies a thread that direct commands need.
 constexpr int kMaxUnsuccessfulCalls = 10;
-// Workers are expected to send heartbeats by themselves within this many heartbeat intervals plus a
-// margin after a leader's start.
+// Workers that need no announcement are expected to send a heartbeat within this many heartbeat
+// intervals plus a margin after the start of the term.
 constexpr double kExpectedWithinIntervals = 1.3;
 constexpr double kExpectedMarginS = 1.5;
 
 }  // namespace
 
 double TokenAnnouncer::heartbeats_expected_by() const {
-  return started_ + kExpectedWithinIntervals * settings_.heartbeat_interval_s + kExpectedMarginS;
+  return term_started_at_ + kExpectedWithinIntervals * settings_.heartbeat_interval_s +
+         kExpectedMarginS;
 }
 
 TokenAnnouncer::Announcements TokenAnnouncer::announcements_to(const Machine& machine) const {
@@ -49,12 +49,13 @@
   if (machine.registered || machine.addr.empty() || machine.direct_in_flight) return false;
   const Announcements announcements = announcements_to(machine);
   if (announcements.count >= kMaxAnnouncements) return false;
-  if (machine.state != MachineState::booting || now < announcements.not_before) return false;
+  if (machine.state != MachineState::booting || now < announcements.next_at) return false;
   return machine.was_up || machine.heartbeats_with_older_token > 0;
 }
 
 std::optional<DirectCommand> TokenAnnouncer::next_announcement(double now) {
-  if (now - started_ < kFirstAnnouncementDelayS || now < next_search_at_) return std::nullopt;
+  if (now - term_started_at_ < kFirstAnnouncementDelayS || now < next_search_at_)
+    return std::nullopt;
   if (waits_for_heartbeats(now)) return std::nullopt;
   const auto found =
       std::find_if(machines_.begin(), machines_.end(),
@@ -66,7 +67,7 @@
   Machine& machine = **found;
   Announcements& announcements = announcements_[machine.index];
   ++announcements.count;
-  announcements.not_before = std::max(now + kRetryIntervalS, heartbeats_expected_by());
+  announcements.next_at = std::max(now + kRetryIntervalS, heartbeats_expected_by());
   machine.direct_in_flight = true;
   return DirectCommand{machine.index, machine.addr, std::max<uint64_t>(1, machine.epoch), {}};
 }
--- a/src/workers/token_announcer.h
+++ b/src/workers/token_announcer.h
@@ -4,13 +4,13 @@
 // without commands. Called by DirectCommands.
 //
 // Announcements serve two purposes:
-// - Workers stay with the controller that replies to them. A deposed leader that is partitioned
-// from
-//   its peers and the state service, but not from its workers, would keep them. After an
-//   announcement, the worker's next heartbeat carries the new token to that leader.
-// - Workers of a leader that hangs or has crashed wait for its reply first, and then perhaps for
+// - Workers send their heartbeats to the controller that replies to them. A deposed leader that is
+//   partitioned from its peers and the state service, but not from its workers, would keep them.
+//   After an announcement, the worker's next heartbeat carries the new token to that leader.
+// - Workers of a leader that hangs or has crashed first wait for its reply, and then perhaps for
 //   that of another controller that is down. Until they send heartbeats to the new leader, the
-//   responses to announcements tell it what runs there, and direct commands can start tasks.
+//   responses to announcements show it the tasks on the machines, and direct commands can start
+//   tasks there.
 
 #include <map>
 #include <optional>
@@ -24,23 +24,25 @@
 
 class TokenAnnouncer {
  public:
-  // `settings` and `machines` must outlive this object. `started`: when this leader's term began.
-  TokenAnnouncer(const Settings& settings, MachineTable& machines, double started)
-      : settings_(settings), machines_(machines), started_(started) {}
+  // `settings` and `machines` must outlive this object. `term_started_at`: when this leader's term
+  // began.
+  TokenAnnouncer(const Settings& settings, MachineTable& machines, double term_started_at)
+      : settings_(settings), machines_(machines), term_started_at_(term_started_at) {}
 
   // Returns the next announcement to send, if any, and marks the machine's call as in flight.
   std::optional<DirectCommand> next_announcement(double now);
-  // The worker refused the call because it named another epoch: the machine is called again.
+  // Allows another announcement to the machine at once, because the worker refused a call that
+  // named another epoch.
   void announce_again(const Machine& machine, double now) {
-    announcements_[machine.index].not_before = now;
+    announcements_[machine.index].next_at = now;
   }
-  // The time by which most workers that find this leader by themselves have sent a heartbeat.
+  // The time by which most workers that need no announcement have sent this leader a heartbeat.
   double heartbeats_expected_by() const;
 
  private:
   struct Announcements {
     int count = 0;
-    double not_before = 0;
+    double next_at = 0;
   };
 
   bool is_due(const Machine& machine, double now) const;
@@ -49,7 +51,7 @@
 
   const Settings& settings_;
   MachineTable& machines_;
-  const double started_;
+  const double term_started_at_;
   std::map<Index, Announcements> announcements_;  // by machine
   double next_search_at_ = 0;
 };
--- a/tests/cancellation_gate_test.cpp
+++ b/tests/cancellation_gate_test.cpp
@@ -31,7 +31,7 @@
     });
   }
   // Waits until exactly `count` notifications are pending, and returns them.
-  std::vector<CancellationGate::Pending> wait_for_pending_count(size_t count) {
+  std::vector<CancellationGate::PendingNotification> wait_for_pending_count(size_t count) {
     CancellationGate::Lock lock(mutex);
     while (gate.pending().size() != count) gate.wait_for_pending(lock, kShortTimeoutS);
     return gate.pending();
@@ -74,7 +74,7 @@
   {
     std::lock_guard lock(mutex);
     gate.on_leader_read(kVersion);
-    EXPECT_EQ(gate.leader_read_to(), kVersion);
+    EXPECT_EQ(gate.leader_read_revision(), kVersion);
   }
   EXPECT_TRUE(result.get());
 }
@@ -97,10 +97,10 @@
   EXPECT_FALSE(result.get());
 }
 
-TEST_F(CancellationGateTest, ARequestTimesOutAndLeavesNothingPending) {
-  const auto from = std::chrono::steady_clock::now();
+TEST_F(CancellationGateTest, RequestTimesOutAndLeavesNothingPending) {
+  const auto start = std::chrono::steady_clock::now();
   EXPECT_FALSE(start_request(kLeaderToken, kShortTimeoutS).get());
-  EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(50));
+  EXPECT_GE(std::chrono::steady_clock::now() - start, std::chrono::milliseconds(50));
   EXPECT_FALSE(start_request(kLeaderToken, -1).get());
   std::lock_guard lock(mutex);
   EXPECT_TRUE(gate.pending().empty());
@@ -113,7 +113,7 @@
     std::lock_guard lock(mutex);
     gate.mark_notification_finished(kJob);
     gate.wake_waiters();
-    EXPECT_TRUE(gate.pending().empty());  // the message is not repeated
+    EXPECT_TRUE(gate.pending().empty());  // no second message is sent
   }
   EXPECT_FALSE(is_finished(result));
   {
--- a/tests/read_barrier_test.cpp
+++ b/tests/read_barrier_test.cpp
@@ -12,53 +12,53 @@
 namespace rookdyke {
 namespace {
 
-constexpr double kLongS = 60;  // far beyond what anything here takes
-constexpr double kShortS = 0.05;
+constexpr double kLongTimeoutS = 60;  // never reached by a passing test
+constexpr double kShortTimeoutS = 0.05;
 
-double seconds_of(const std::function<void()>& run) {
-  const auto from = std::chrono::steady_clock::now();
-  run();
-  return std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
+double duration_s(const std::function<void()>& action) {
+  const auto start = std::chrono::steady_clock::now();
+  action();
+  return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
 class ReadBarrierTest : public testing::Test {
  protected:
-  std::future<bool> waiting(double timeout_s = kLongS) {
+  std::future<bool> start_wait(double timeout_s = kLongTimeoutS) {
     return std::async(std::launch::async, [this, timeout_s] { return barrier.wait(timeout_s); });
   }
-  static bool returned(const std::future<bool>& result) {
+  static bool is_finished(const std::future<bool>& result) {
     return result.wait_for(std::chrono::milliseconds(50)) == std::future_status::ready;
   }
 
   ReadBarrier barrier;
 };
 
-TEST_F(ReadBarrierTest, AReadThatIsSentAfterTheCallAnswersIt) {
-  auto result = waiting();
-  barrier.wait_for_caller(kLongS);
+TEST_F(ReadBarrierTest, ReadSentAfterTheCallCompletesIt) {
+  auto result = start_wait();
+  barrier.wait_for_caller(kLongTimeoutS);
   const auto read = barrier.begin_read();
-  EXPECT_FALSE(returned(result));
+  EXPECT_FALSE(is_finished(result));
   barrier.on_response();
-  EXPECT_FALSE(returned(result));  // not before it is applied
+  EXPECT_FALSE(is_finished(result));  // not before it is applied
   barrier.on_read_applied(read);
   EXPECT_TRUE(result.get());
 }
 
-TEST_F(ReadBarrierTest, AReadThatWasSentBeforeTheCallProvesNothing) {
-  const auto early = barrier.begin_read();
-  auto result = waiting();
-  barrier.wait_for_caller(kLongS);  // it has called
-  barrier.on_read_applied(early);
-  EXPECT_FALSE(returned(result));
+TEST_F(ReadBarrierTest, ReadSentBeforeTheCallDoesNotCompleteIt) {
+  const auto earlier_read = barrier.begin_read();
+  auto result = start_wait();
+  barrier.wait_for_caller(kLongTimeoutS);  // returns once the call of wait() is registered
+  barrier.on_read_applied(earlier_read);
+  EXPECT_FALSE(is_finished(result));
   barrier.on_read_applied(barrier.begin_read());
   EXPECT_TRUE(result.get());
 }
 
-TEST_F(ReadBarrierTest, OneReadAnswersAllThatWaited) {
+TEST_F(ReadBarrierTest, OneReadCompletesAllWaitingCalls) {
   std::vector<std::future<bool>> results;
   results.reserve(5);
   ReadBarrier::ReadId read = 0;
-  for (int i = 0; i < 5; ++i) results.push_back(waiting());
+  for (int i = 0; i < 5; ++i) results.push_back(start_wait());
   while (read < 5) {
     read = barrier.begin_read();
     std::this_thread::yield();
@@ -67,50 +67,50 @@
   for (auto& result : results) EXPECT_TRUE(result.get());
 }
 
-TEST_F(ReadBarrierTest, ACallTimesOut) {
-  bool proven = true;
-  EXPECT_GE(seconds_of([&] { proven = barrier.wait(kShortS); }), kShortS);
-  EXPECT_FALSE(proven);
-  // Time that is over already is no error.
+TEST_F(ReadBarrierTest, CallTimesOut) {
+  bool succeeded = true;
+  EXPECT_GE(duration_s([&] { succeeded = barrier.wait(kShortTimeoutS); }), kShortTimeoutS);
+  EXPECT_FALSE(succeeded);
+  // A negative timeout is allowed and returns at once.
   EXPECT_FALSE(barrier.wait(-1));
 }
 
-TEST_F(ReadBarrierTest, AFailedReadFailsItsCallersAtOnceButNoLaterOne) {
-  auto result = waiting();
-  barrier.wait_for_caller(kLongS);
+TEST_F(ReadBarrierTest, FailedReadFailsItsCallersButNoLaterCall) {
+  auto result = start_wait();
+  barrier.wait_for_caller(kLongTimeoutS);
   barrier.on_read_failed(barrier.begin_read(), 0);
   EXPECT_FALSE(result.get());
   EXPECT_FALSE(barrier.failing());
-  auto later = waiting();
-  barrier.wait_for_caller(kLongS);
+  auto later = start_wait();
+  barrier.wait_for_caller(kLongTimeoutS);
   barrier.on_read_applied(barrier.begin_read());
   EXPECT_TRUE(later.get());
 }
 
-TEST_F(ReadBarrierTest, AfterTwoFailuresInARowNobodyWaits) {
+TEST_F(ReadBarrierTest, CallsFailImmediatelyAfterTwoConsecutiveFailures) {
   barrier.on_read_failed(barrier.begin_read(), 0);
   EXPECT_FALSE(barrier.failing());
   barrier.on_read_failed(barrier.begin_read(), 0);
   EXPECT_TRUE(barrier.failing());
-  bool proven = true;
-  EXPECT_LT(seconds_of([&] { proven = barrier.wait(kLongS); }), kLongS / 2);
-  EXPECT_FALSE(proven);
+  bool succeeded = true;
+  EXPECT_LT(duration_s([&] { succeeded = barrier.wait(kLongTimeoutS); }), kLongTimeoutS / 2);
+  EXPECT_FALSE(succeeded);
   barrier.on_response();
   EXPECT_FALSE(barrier.failing());
-  auto result = waiting();
-  barrier.wait_for_caller(kLongS);
+  auto result = start_wait();
+  barrier.wait_for_caller(kLongTimeoutS);
   barrier.on_read_applied(barrier.begin_read());
   EXPECT_TRUE(result.get());
 }
 
-TEST_F(ReadBarrierTest, AnAnswerBetweenStartsTheCountAnew) {
+TEST_F(ReadBarrierTest, ResponseResetsTheFailureCount) {
   barrier.on_read_failed(barrier.begin_read(), 0);
   barrier.on_response();
   barrier.on_read_failed(barrier.begin_read(), 0);
   EXPECT_FALSE(barrier.failing());
 }
 
-TEST_F(ReadBarrierTest, ThePauseAfterAFailureEndsWithTheNextCall) {
+TEST_F(ReadBarrierTest, PauseAfterAFailureEndsWithTheNextCall) {
   std::atomic<bool> finished{false};
   std::thread caller([&] {
     while (!finished) {
@@ -118,39 +118,40 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
   });
-  EXPECT_LT(seconds_of([&] { barrier.on_read_failed(barrier.begin_read(), kLongS); }), kLongS / 2);
+  EXPECT_LT(duration_s([&] { barrier.on_read_failed(barrier.begin_read(), kLongTimeoutS); }),
+            kLongTimeoutS / 2);
   finished = true;
   caller.join();
 }
 
-TEST_F(ReadBarrierTest, TheWatcherWaitsNoLongerThanItSays) {
-  EXPECT_GE(seconds_of([&] { barrier.wait_for_caller(kShortS); }), kShortS);
-  // One who timed out is waited for by nobody, but is still to be answered.
-  EXPECT_FALSE(barrier.wait(kShortS));
-  EXPECT_LT(seconds_of([&] { barrier.wait_for_caller(kLongS); }), kLongS / 2);
+TEST_F(ReadBarrierTest, WatcherWaitsUntilTheTimeoutOrAnUncoveredCall) {
+  EXPECT_GE(duration_s([&] { barrier.wait_for_caller(kShortTimeoutS); }), kShortTimeoutS);
+  // A call that timed out still counts as not covered by a read.
+  EXPECT_FALSE(barrier.wait(kShortTimeoutS));
+  EXPECT_LT(duration_s([&] { barrier.wait_for_caller(kLongTimeoutS); }), kLongTimeoutS / 2);
   barrier.on_read_applied(barrier.begin_read());
-  EXPECT_GE(seconds_of([&] { barrier.wait_for_caller(kShortS); }), kShortS);
+  EXPECT_GE(duration_s([&] { barrier.wait_for_caller(kShortTimeoutS); }), kShortTimeoutS);
 }
 
 TEST_F(ReadBarrierTest, StopEndsAllWaits) {
-  auto result = waiting();
-  barrier.wait_for_caller(kLongS);
+  auto result = start_wait();
+  barrier.wait_for_caller(kLongTimeoutS);
   const auto read = barrier.begin_read();
   auto watcher = std::async(std::launch::async, [&] {
-    barrier.on_read_failed(read, kLongS);
+    barrier.on_read_failed(read, kLongTimeoutS);
     return true;
   });
   EXPECT_FALSE(result.get());
-  auto second = waiting();
+  auto second = start_wait();
   barrier.stop();
   EXPECT_FALSE(second.get());
   EXPECT_TRUE(watcher.get());
-  EXPECT_LT(seconds_of([&] {
-              barrier.wait_for_caller(kLongS);
-              EXPECT_FALSE(barrier.wait(kLongS));
-              barrier.on_read_failed(barrier.begin_read(), kLongS);
+  EXPECT_LT(duration_s([&] {
+              barrier.wait_for_caller(kLongTimeoutS);
+              EXPECT_FALSE(barrier.wait(kLongTimeoutS));
+              barrier.on_read_failed(barrier.begin_read(), kLongTimeoutS);
             }),
-            kLongS / 2);
+            kLongTimeoutS / 2);
 }
 
 }  // namespace
--- a/tests/scheduler/cancellations_test.cpp
+++ b/tests/scheduler/cancellations_test.cpp
@@ -68,16 +68,16 @@
 TEST(KnownCancellations, OnlyWhatALeaderReadOrAcknowledged) {
   KnownCancellations known;
   EXPECT_FALSE(known.contains("wk-000001", 12));
-  known.read_to(11);
+  known.on_leader_read(11);
   EXPECT_FALSE(known.contains("wk-000001", 12));
   known.acknowledge("wk-000001", 12);
   EXPECT_TRUE(known.contains("wk-000001", 12));
   EXPECT_FALSE(known.contains("wk-000002", 12));
   EXPECT_FALSE(known.contains("wk-000001", 13));  // another row than the one that was acknowledged
-  known.read_to(20);
+  known.on_leader_read(20);
   EXPECT_TRUE(known.contains("wk-000002", 20));
   EXPECT_FALSE(known.contains("wk-000002", 21));
-  known.read_to(5);  // arrives late
+  known.on_leader_read(5);  // arrives late
   EXPECT_TRUE(known.contains("wk-000002", 20));
 }
 
--- a/tests/scheduler/lease_clock_test.cpp
+++ b/tests/scheduler/lease_clock_test.cpp
@@ -10,7 +10,7 @@
 TEST(LeaseClock, WhatWasKnownBeforeAStallIsVoid) {
   LeaseClock clock(100);
   clock.on_renewed(100.1);
-  EXPECT_TRUE(clock.lease_confirmed(100.5, 2.5));
+  EXPECT_TRUE(clock.lease_state_is_current(100.5, 2.5));
   EXPECT_EQ(clock.detect_stall(100.6), 0);
   EXPECT_EQ(clock.detect_stall(101.5), 0);
   // An outage: renewals fail, and the process runs throughout. The lease is unconfirmed, but not by
@@ -18,14 +18,14 @@
   clock.on_renewal_attempted(102);
   EXPECT_EQ(clock.detect_stall(102.4), 0);
   EXPECT_FALSE(clock.is_unexpired(103, 2.5));
-  EXPECT_TRUE(clock.lease_confirmed(103, 2.5));
+  EXPECT_TRUE(clock.lease_state_is_current(103, 2.5));
   // The process is paused: nothing is sure until the lease has been asked for again.
   EXPECT_NEAR(clock.detect_stall(130), 27.6, 1e-9);
-  EXPECT_FALSE(clock.lease_confirmed(130, 2.5));
+  EXPECT_FALSE(clock.lease_state_is_current(130, 2.5));
   clock.on_renewal_attempted(129);  // an answer to what was sent before it resumed
-  EXPECT_FALSE(clock.lease_confirmed(130.1, 2.5));
+  EXPECT_FALSE(clock.lease_state_is_current(130.1, 2.5));
   clock.on_renewal_attempted(130.05);
-  EXPECT_TRUE(clock.lease_confirmed(130.2, 2.5));
+  EXPECT_TRUE(clock.lease_state_is_current(130.2, 2.5));
   clock.on_renewed(130.3);
   EXPECT_TRUE(clock.is_unexpired(132, 2.5));
 }
--- a/tests/simulation/controller.cpp
+++ b/tests/simulation/controller.cpp
@@ -123,7 +123,7 @@
   if (!ledger_cache_.leader().empty())
     highest_token_ = std::max(highest_token_, ledger_cache_.leader_version());
   if (scheduler_ && ledger_cache_.leader_version() > fencing_token_) step_down();
-  if (scheduler_) known_cancellations_.read_to(revision_);
+  if (scheduler_) known_cancellations_.on_leader_read(revision_);
 }
 
 void SimController::apply(const Store::Event& event) {
@@ -147,7 +147,7 @@
       step_down(kCooldownWithoutHeartbeats);
     else
       scheduler_->round(world_.clock.now);
-  } else if (lease_confirmed()) {
+  } else if (lease_state_is_current()) {
     scheduler_->release_cancelled_work(world_.clock.now);
   }
   commit();
@@ -223,7 +223,7 @@
 
 // One call at a time: returns go first, then rentals.
 void SimController::call_cloud() {
-  if (!lease_confirmed() || cloud_busy_) return;
+  if (!lease_state_is_current() || cloud_busy_) return;
   const double now = world_.clock.now;
   const bool doubtful = !may_decide();
   if (auto names = scheduler_->next_return(now, doubtful); !names.empty()) {
--- a/tests/simulation/controller.h
+++ b/tests/simulation/controller.h
@@ -93,7 +93,7 @@
 
   // ---- controller_leadership.cpp
   void check_stall();
-  bool lease_confirmed();
+  bool lease_state_is_current();
   // Leads without doubt.
   bool may_decide();
   uint64_t known_token() const;
--- a/tests/simulation/controller_leadership.cpp
+++ b/tests/simulation/controller_leadership.cpp
@@ -20,24 +20,24 @@
 constexpr double kStateHeardWithin = 2;  // before a campaign
 }  // namespace
 
-// As ControllerState::check_for_stall and ControllerState::lease_confirmed in the daemon.
-bool SimController::lease_confirmed() {
+// As ControllerState::check_for_stall and ControllerState::lease_state_is_current in the daemon.
+bool SimController::lease_state_is_current() {
   const double stall = lease_clock_.detect_stall(world_.clock.now);
   if (stall > 0) {
     if (scheduler_) scheduler_->on_process_stall(stall, world_.clock.now);
     heard_sibling_ = world_.clock.now;
   }
-  return scheduler_ && lease_clock_.lease_confirmed(world_.clock.now, kLeaseTtl);
+  return scheduler_ && lease_clock_.lease_state_is_current(world_.clock.now, kLeaseTtl);
 }
 
 void SimController::check_stall() {
-  lease_confirmed();
+  lease_state_is_current();
   later(kStallCheckInterval, &SimController::check_stall);
 }
 
 // As the daemon's (Controller::acts).
 bool SimController::may_decide() {
-  return lease_confirmed() && lease_clock_.is_unexpired(world_.clock.now, kLeaseTtl);
+  return lease_state_is_current() && lease_clock_.is_unexpired(world_.clock.now, kLeaseTtl);
 }
 
 uint64_t SimController::known_token() const {
@@ -72,7 +72,7 @@
         *renewal = world_.store.renew(lease) ? Renewal::kept : Renewal::ended;
       },
       [this, renewal, lease = lease_, sent](bool ok) {
-        lease_confirmed();
+        lease_state_is_current();
         lease_clock_.on_renewal_attempted(sent);
         if (!scheduler_ || lease != lease_ || !ok) return;
         if (*renewal == Renewal::kept) {
@@ -127,7 +127,7 @@
 void SimController::on_elected(const Campaign& campaign, bool ledger_read) {
   campaigning_ = false;
   if (!ledger_read || ledger_cache_.leader_version() != campaign.fencing_token) return;
-  lease_confirmed();
+  lease_state_is_current();
   const double now = world_.clock.now;
   if (now - campaign.began > kLeaseTtl * LeaseClock::kUsableLeaseFraction) return;  // too late
   fencing_token_ = campaign.fencing_token;
@@ -154,7 +154,7 @@
       controller_place(sibling), kViewTimeout,
       [view, other] {
         *view = {other->label_ + "." + std::to_string(other->life_), other->known_token(),
-                 other->known_cancellations_.read_to()};
+                 other->known_cancellations_.leader_read_revision()};
       },
       [this, view, other, sent = world_.clock.now](bool ok) {
         if (ok) on_sibling_view(*other, *view, sent);
@@ -164,7 +164,7 @@
 void SimController::on_sibling_view(const SimController& sibling, const SiblingView& view,
                                     double sent) {
   heard_sibling_ = world_.clock.now;
-  known_cancellations_.read_to(view.read_to);
+  known_cancellations_.on_leader_read(view.read_to);
   highest_token_ = std::max(highest_token_, view.fencing_token);
   if (scheduler_ && view.fencing_token > fencing_token_) step_down();
   cancellation_staleness_.on_peer_response(sibling.label_, view.incarnation, view.fencing_token,
--- a/tests/simulation/controller_requests.cpp
+++ b/tests/simulation/controller_requests.cpp
@@ -33,7 +33,7 @@
       now - heard_state_ > kIsolatedAfter)
     return false;
   // After a stall it does not know yet whether it still leads.
-  if (!lease_confirmed()) return false;
+  if (!lease_state_is_current()) return false;
   // Jobs may have been cancelled without its knowledge.
   const double stale = now - cancellation_staleness_.known_until();
   return stale <= staleness_bound(world_.settings.cancel_s, world_.settings.lease_s);
@@ -183,8 +183,8 @@
   if (!job || job->row.status != ledger::JobStatus::cancelled) return then(false);
   if (known_cancellations_.contains(id, job->version)) return then(true);
   if (scheduler_) {
-    const bool ours =
-        !scheduler_->has_lost_leadership() && lease_confirmed() && fencing_token_ >= known_token();
+    const bool ours = !scheduler_->has_lost_leadership() && lease_state_is_current() &&
+                      fencing_token_ >= known_token();
     if (ours) known_cancellations_.acknowledge(id, job->version);
     return then(ours);
   }
@@ -221,7 +221,7 @@
 uint64_t SimController::on_cancellations(uint64_t fencing_token, const std::string& id,
                                          const CachedJob& job) {
   if (scheduler_ && fencing_token > fencing_token_) step_down();
-  if (!scheduler_ || scheduler_->has_lost_leadership() || !lease_confirmed()) return 0;
+  if (!scheduler_ || scheduler_->has_lost_leadership() || !lease_state_is_current()) return 0;
   put_job(id, ledger::encode(job.row), job.version);
   return fencing_token_;
 }
