--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -167,7 +167,7 @@
 ledger::JobRow UserApi::new_row(const JobSpec& spec, const std::string& transaction_id) const {
   ledger::JobRow row;
   row.tasks = spec.tasks;
-  row.chunk_size = ledger::tasks_per_chunk(settings_.lasting_value_bytes());
+  row.chunk_size = ledger::tasks_per_chunk(settings_.min_value_bytes());
   row.timestamp_s = unix_time_s();
   row.spec = spec;
   row.transaction_id = transaction_id;
@@ -189,12 +189,12 @@
   transaction.conditions = {{ledger::job_key(id), 0}};
   transaction.changes = {{ledger::job_key(id), false, value, 0}};
   const auto result = ledger_.commit(transaction, deadline);
-  if (!result || result->outcome == Outcome::refused)
+  if (!result || result->outcome == Outcome::not_executed)
     return respond_unavailable(response, kLedgerUnavailable);
   if (result->outcome == Outcome::rejected) {
     // The state service has lowered its size limits.
     if (respond_if_accepted_elsewhere(id, deadline, response)) return;
-    if (size > settings_.lasting_value_bytes())
+    if (size > settings_.min_value_bytes())
       return reply(response, http_status::kBadRequest, wire::encode_error(kTooLong));
     return respond_unavailable(response, kLedgerUnavailable);
   }
@@ -242,7 +242,7 @@
 // cancelled it. A cancellation is reported only once the leader knows it.
 void UserApi::respond_with_status(const std::string& id, const JobProgress& summary,
                                   bool with_counts, double deadline, httplib::Response& response) {
-  if (summary.status == JobStatus::cancelled && !ledger_.may_confirm_cancelled(id, deadline, 0))
+  if (summary.status == JobStatus::cancelled && !ledger_.may_confirm_cancellation(id, deadline, 0))
     return respond_unavailable(response, kLeaderNotInformed, Connection::close);
   reply(response, http_status::kOk, wire::encode_job_status(id, summary, with_counts));
 }
@@ -310,15 +310,15 @@
     cancellation->row.status = JobStatus::cancelled;
     cancellation->row.timestamp_s = unix_time_s();
     cancellation->row.transaction_id = cancellation->transaction.transaction_id;
-    ledger::shorten_cancelled(cancellation->row, settings_.lasting_value_bytes());
+    ledger::shorten_cancelled(cancellation->row, settings_.min_value_bytes());
     const json value = ledger::encode(cancellation->row);
     cancellation->transaction.changes = {{ledger::job_key(id), false, value, 0}};
     const auto result = ledger_.commit(cancellation->transaction, deadline);
-    if (!result || result->outcome == Outcome::refused || result->outcome == Outcome::rejected)
+    if (!result || result->outcome == Outcome::not_executed || result->outcome == Outcome::rejected)
       return respond_unavailable(response, kLedgerUnavailable);
     if (result->outcome == Outcome::conflict) continue;  // a row has changed
     ledger_.apply_committed({ledger::job_key(id), value, result->revision, false});
-    if (!ledger_.may_confirm_cancelled(id, deadline, cancellation->leader))
+    if (!ledger_.may_confirm_cancellation(id, deadline, cancellation->leader))
       return respond_unavailable(response, kLeaderNotInformed, Connection::close);
     return reply(response, http_status::kOk, wire::encode_job_cancelled(id));
   }
@@ -332,9 +332,9 @@
                                   Connection connection) {
   static std::atomic<unsigned> refusals{0};
   response.set_header("Retry-After", std::to_string(1 + refusals++ % kMaxRetryAfterS));
-  if (connection == Connection::close || ledger_.siblings_are_served()) {
+  if (connection == Connection::close || ledger_.peers_reach_state_service()) {
     response.set_header("Connection", "close");
-    net::Server::close_after_answer();
+    net::Server::close_after_response();
   }
   reply(response, http_status::kUnavailable, wire::encode_error(reason));
 }
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -48,10 +48,11 @@
   // Whether a durable cancellation may be confirmed to its user, which requires that the leader
   // knows it. Waits for that until the deadline (seconds of steady_now()). `leader` is the version
   // of the leader key that the write was conditional on; 0 if unknown.
-  virtual bool may_confirm_cancelled(const std::string& job, double deadline, uint64_t leader) = 0;
+  virtual bool may_confirm_cancellation(const std::string& job, double deadline,
+                                        uint64_t leader) = 0;
   // Whether a peer controller recently reported that the state service responds to it. If it does
   // not respond to this controller, only this controller is partitioned from it.
-  virtual bool siblings_are_served() const = 0;
+  virtual bool peers_reach_state_service() const = 0;
 };
 
 // Thread-safe: requests share no state except the ledger.
@@ -88,9 +89,9 @@
                            double deadline, httplib::Response& response);
   // When a response of respond_unavailable closes the connection, so that the load balancer routes
   // the retry to another controller.
-  enum class Connection { close_if_siblings_are_served, close };
+  enum class Connection { close_if_peers_reach_state_service, close };
   void respond_unavailable(httplib::Response& response, const char* reason,
-                           Connection connection = Connection::close_if_siblings_are_served);
+                           Connection connection = Connection::close_if_peers_reach_state_service);
 
   const Settings& settings_;
   JobLedger& ledger_;
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -90,7 +90,7 @@
       call(Method::post, wire::kReturnPath, wire::encode_return_request(names), may_send);
   if (answer.status == http_status::kOk) return CloudOutcome::done;
   const bool not_executed = answer.status != http_status::kNone || !answer.may_have_executed;
-  return not_executed ? CloudOutcome::refused : CloudOutcome::unknown;
+  return not_executed ? CloudOutcome::refused : CloudOutcome::indeterminate;
 }
 
 std::optional<std::vector<ListedMachine>> Client::list() {
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -27,7 +27,7 @@
   std::optional<std::vector<MachineType>> types();
 
   struct RentalResult {
-    CloudOutcome outcome = CloudOutcome::unknown;
+    CloudOutcome outcome = CloudOutcome::indeterminate;
     std::vector<std::string> machines;  // names of those rented
   };
   // Asked right before a request is sent, after any wait for the rate limit. False: it is not sent,
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -19,19 +19,19 @@
 };
 
 // Another replica of this deployment.
-struct Sibling {
+struct PeerController {
   std::string label;
-  Endpoint mesh;  // where it answers its siblings
+  Endpoint mesh;  // where it answers its peer controllers
 };
 
 struct Config {
   Settings scheduler;
 
   Endpoint bind;   // where users, workers and health checks connect
-  Endpoint mesh;   // where siblings connect
+  Endpoint mesh;   // where peer controllers connect
   Endpoint cloud;  // the cloud's API
   Endpoint state;  // the state service
-  std::vector<Sibling> siblings;
+  std::vector<PeerController> peers;
   int nodes = 1;  // replicas of the deployment, this one too
 
   // Limits that all replicas share.
@@ -64,9 +64,9 @@
 void apply_ini(Config& config, const std::string& path);
 
 // How many connections may be open at once from users, workers and health checks, and from
-// siblings. The rest of max_sockets is for what this process opens itself, and for connections that
-// wait to be accepted.
+// peer controllers. The rest of max_sockets is for what this process opens itself, and for
+// connections that wait to be accepted.
 size_t connections_from_outside(const Config& config);
-size_t connections_from_siblings(const Config& config);
+size_t connections_from_peers(const Config& config);
 
 }  // namespace rookdyke
--- a/src/config/settings_file.cpp
+++ b/src/config/settings_file.cpp
@@ -61,8 +61,8 @@
   config.scheduler.label = file.text("label");
   config.bind = file.endpoint("bind");
   config.mesh = file.endpoint("mesh_addr");
-  for (const SettingsObject& sibling : file.objects("siblings"))
-    config.siblings.push_back({sibling.text("label"), sibling.endpoint("endpoint")});
+  for (const SettingsObject& peer : file.objects("siblings"))
+    config.peers.push_back({peer.text("label"), peer.endpoint("endpoint")});
   const SettingsObject external = file.object("external");
   config.cloud = external.endpoint("cloud");
   config.state = external.endpoint("state");
--- a/src/daemon/cancellation_notifier.cpp
+++ b/src/daemon/cancellation_notifier.cpp
@@ -18,8 +18,8 @@
 CancellationNotifier::CancellationNotifier(const Config& config, SharedState& shared,
                                            state::RateLimiters& limiters, TransactionIds& ids)
     : shared_(shared), ids_(ids), client_(config.state, limiters, kStateServiceTimeoutS) {
-  for (const Sibling& sibling : config.siblings)
-    peers_[sibling.label] = std::make_unique<mesh::PeerClient>(sibling);
+  for (const PeerController& peer : config.peers)
+    peers_[peer.label] = std::make_unique<mesh::PeerClient>(peer);
 }
 
 void CancellationNotifier::run() {
--- a/src/daemon/cloud_reconciler.cpp
+++ b/src/daemon/cloud_reconciler.cpp
@@ -97,7 +97,7 @@
   const CloudOutcome outcome = cloud_.return_machines(action.names, may_send(fencing_token));
   auto state = shared_.lock();
   if (Scheduler* scheduler = state->scheduler_of_term(fencing_token))
-    scheduler->on_return(action.names, outcome, steady_now());
+    scheduler->on_return_result(action.names, outcome, steady_now());
   shared_.wakeups().transactions.notify_all();
 }
 
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -75,7 +75,7 @@
         serve(request, response);
       });
   mesh_server_ = std::make_unique<net::Server>(
-      config_.mesh, connections_from_siblings(config_), kMeshThreads, kMaxMeshBodyBytes,
+      config_.mesh, connections_from_peers(config_), kMeshThreads, kMaxMeshBodyBytes,
       [this](const httplib::Request& request, httplib::Response& response) {
         mesh_endpoint_.serve(request, response);
       });
--- a/src/daemon/controller_state.cpp
+++ b/src/daemon/controller_state.cpp
@@ -25,10 +25,10 @@
 constexpr double kIsolationTimeoutS = 5;
 constexpr double kReadToPublishIntervalS = 0.6;
 
-std::vector<std::string> labels_of(const std::vector<Sibling>& siblings) {
+std::vector<std::string> labels_of(const std::vector<PeerController>& peers) {
   std::vector<std::string> labels;
-  labels.reserve(siblings.size());
-  for (const Sibling& sibling : siblings) labels.push_back(sibling.label);
+  labels.reserve(peers.size());
+  for (const PeerController& peer : peers) labels.push_back(peer.label);
   return labels;
 }
 
@@ -46,7 +46,7 @@
       cloud_limiter_(cloud_limiter),
       reachability_(reachability),
       wakeups_(wakeups),
-      write_share_(config.scheduler.label, labels_of(config.siblings), config.nodes,
+      write_share_(config.scheduler.label, labels_of(config.peers), config.nodes,
                    config.write_rps) {}
 
 // ---------------------------------------------------------------- role
@@ -54,7 +54,7 @@
 void ControllerState::start(double now) {
   lease_clock_ = LeaseClock(now);
   cancellation_staleness_ = config_.nodes == 1 ? CancellationStaleness::of_only_controller()
-                                               : CancellationStaleness(labels_of(config_.siblings));
+                                               : CancellationStaleness(labels_of(config_.peers));
   set_role(Role::follower, "start");
 }
 
@@ -109,7 +109,7 @@
   check_for_stall(now);
   lease_clock_.on_renewal_attempted(sent_at);
   if (!leads()) return;
-  if (outcome == state::Client::Renewal::kept) {
+  if (outcome == state::Client::Renewal::renewed) {
     lease_clock_.on_renewed(sent_at);
     cancellation_staleness_.advance_to(sent_at);
     if (role_ == Role::unconfirmed) set_role(Role::leading, "the lease is renewed");
@@ -166,7 +166,7 @@
 // ---------------------------------------------------------------- ledger
 
 void ControllerState::apply(const wire::Row& row) {
-  if (row.erased) {
+  if (row.deleted) {
     ledger_cache_.erase(row.key, row.version);
     return;
   }
@@ -205,7 +205,7 @@
 }
 
 bool ControllerState::is_isolated(double now) const {
-  return !config_.siblings.empty() && now - last_peer_contact_ > kIsolationTimeoutS &&
+  return !config_.peers.empty() && now - last_peer_contact_ > kIsolationTimeoutS &&
          now - reachability_.last_state_service_response_at() > kIsolationTimeoutS;
 }
 
@@ -228,7 +228,7 @@
       ledger_cache_.last_cancellation_version() <= ledger_cache_.read_to())
     return false;
   if (now - read_to_published_at_ < kReadToPublishIntervalS) return false;
-  return write_share_.reachable_siblings(now) < config_.nodes - 1;
+  return write_share_.reachable_peers(now) < config_.nodes - 1;
 }
 
 // ---------------------------------------------------------------- limits of the state service
--- a/src/daemon/leader_election.cpp
+++ b/src/daemon/leader_election.cpp
@@ -116,8 +116,8 @@
                           {{"label", config_.scheduler.label}, {"w", transaction.transaction_id}},
                           *lease}};
   ledger::Result result = client_.commit(transaction, kRateLimitWaitS);
-  if (result.outcome == ledger::Outcome::unknown)
-    result = client_.commit_repeated(transaction, kRateLimitWaitS);
+  if (result.outcome == ledger::Outcome::indeterminate)
+    result = client_.commit_resent(transaction, kRateLimitWaitS);
   // All of a predecessor's commits precede this key, so after the barrier the ledger cache has
   // them.
   if (result.outcome != ledger::Outcome::applied || !read_barrier_.wait(kBarrierTimeoutS)) {
--- a/src/daemon/peer_exchange.cpp
+++ b/src/daemon/peer_exchange.cpp
@@ -20,9 +20,9 @@
       limiters_(limiters),
       reachability_(reachability),
       ids_(ids) {
-  peers_.reserve(config.siblings.size());
-  for (const Sibling& sibling : config.siblings)
-    peers_.push_back(std::make_unique<mesh::PeerClient>(sibling));
+  peers_.reserve(config.peers.size());
+  for (const PeerController& peer : config.peers)
+    peers_.push_back(std::make_unique<mesh::PeerClient>(peer));
 }
 
 void PeerExchange::run() {
@@ -54,7 +54,8 @@
   const double now = steady_now();
   const double requested_writes = limiters_.writes.asked();
   const Scheduler* scheduler = state->scheduler();
-  const double backlog = scheduler && state->leads() ? static_cast<double>(scheduler->unsent()) : 0;
+  const double backlog =
+      scheduler && state->leads() ? static_cast<double>(scheduler->pending_writes()) : 0;
   state->write_share().record_own(requested_writes, backlog, now);
   state->update_write_share(now);
 }
@@ -94,8 +95,8 @@
   state->on_peer_contact(now);
   if (view.state_ok) reachability_.on_peer_reaches_state_service(now);
   state->update_image_locations(view.image_locations, view.fencing_token);
-  state->write_share().record_sibling(view.label, view.write_demand, now);
-  if (view.rate_lowered) limiters_.on_sibling_refused();
+  state->write_share().record_peer(view.label, view.write_demand, now);
+  if (view.rate_lowered) limiters_.on_peer_refused();
   if (view.sizes_lowered) state->apply_lowered_size_limits();
   // Applied under the same lock as the token below: whoever sees how far a leader has read also
   // knows that leader's token.
--- a/src/daemon/replica_ledger.cpp
+++ b/src/daemon/replica_ledger.cpp
@@ -30,9 +30,9 @@
 
 bool ReplicaLedger::wait_for_barrier(double timeout_s) { return read_barrier_.wait(timeout_s); }
 
-void ReplicaLedger::read(const std::function<void(const LedgerCache&)>& visitor) const {
+void ReplicaLedger::read(const std::function<void(const LedgerCache&)>& callback) const {
   auto state = shared_.lock();
-  visitor(state->ledger_cache());
+  callback(state->ledger_cache());
 }
 
 std::vector<MachineType> ReplicaLedger::machine_types() const {
@@ -45,7 +45,7 @@
 
 void ReplicaLedger::apply_committed(const wire::Row& row) { shared_.lock()->apply(row); }
 
-bool ReplicaLedger::siblings_are_served() const {
+bool ReplicaLedger::peers_reach_state_service() const {
   return reachability_.peers_reach_state_service(steady_now());
 }
 
@@ -54,21 +54,21 @@
   if (read_barrier_.failing()) return std::nullopt;
   state::ConnectionPool::Connection connection(connections_, kQueueTimeoutS);
   if (!connection) return std::nullopt;
-  bool repeat = false;
+  bool resend = false;
   while (true) {
     const double remaining_s = deadline - steady_now();
     if (remaining_s <= kMinCommitTimeS) return std::nullopt;
     const double wait_s = std::min(remaining_s, kQueueTimeoutS);
-    const ledger::Result result = repeat ? connection->commit_repeated(transaction, wait_s)
+    const ledger::Result result = resend ? connection->commit_resent(transaction, wait_s)
                                          : connection->commit(transaction, wait_s);
-    if (result.outcome == Outcome::unknown) {
+    if (result.outcome == Outcome::indeterminate) {
       if (read_barrier_.failing()) return std::nullopt;
-      repeat = true;
+      resend = true;
       continue;
     }
     const bool not_executed =
-        result.outcome == Outcome::refused || result.outcome == Outcome::rejected;
-    if (not_executed && repeat)
+        result.outcome == Outcome::not_executed || result.outcome == Outcome::rejected;
+    if (not_executed && resend)
       return std::nullopt;  // indeterminate: an earlier copy may be applied
     return result;
   }
@@ -78,7 +78,8 @@
 // other code decides this. Any controller that may reply to heartbeats has to know the
 // cancellation, because otherwise it would keep the workers' leases and the job's tasks alive
 // (leadership/cancellations.h).
-bool ReplicaLedger::may_confirm_cancelled(const std::string& id, double deadline, uint64_t leader) {
+bool ReplicaLedger::may_confirm_cancellation(const std::string& id, double deadline,
+                                             uint64_t leader) {
   auto state = shared_.lock();
   const CachedJob* job = state->ledger_cache().job(id);
   if (!job || job->row.status != ledger::JobStatus::cancelled) return false;
--- a/src/daemon/replica_ledger.h
+++ b/src/daemon/replica_ledger.h
@@ -24,14 +24,14 @@
                 ReadBarrier& read_barrier, const Reachability& reachability, TransactionIds& ids);
 
   bool wait_for_barrier(double timeout_s) override;
-  void read(const std::function<void(const LedgerCache&)>& visitor) const override;
+  void read(const std::function<void(const LedgerCache&)>& callback) const override;
   std::vector<MachineType> machine_types() const override;
   std::string new_transaction_id() override;
   std::optional<ledger::Result> commit(const ledger::Transaction& transaction,
                                        double deadline) override;
   void apply_committed(const wire::Row& row) override;
-  bool may_confirm_cancelled(const std::string& job, double deadline, uint64_t leader) override;
-  bool siblings_are_served() const override;
+  bool may_confirm_cancellation(const std::string& job, double deadline, uint64_t leader) override;
+  bool peers_reach_state_service() const override;
 
  private:
   SharedState& shared_;
--- a/src/daemon/scheduling_loop.cpp
+++ b/src/daemon/scheduling_loop.cpp
@@ -49,7 +49,7 @@
   if (state.role() == Role::unconfirmed && scheduler && scheduler->has_lost_leadership()) {
     state.step_down(Role::follower, kLostLeadership);
   } else if (state.is_unconfirmed_leader(steady_now())) {
-    state.scheduler()->release_cancelled_work(steady_now());
+    state.scheduler()->terminate_machines_with_cancelled_tasks(steady_now());
     shared_.wakeups().cloud.notify_all();
   }
   return kIdleIntervalS;
--- a/src/daemon/transaction_committer.cpp
+++ b/src/daemon/transaction_committer.cpp
@@ -47,9 +47,9 @@
 
 void TransactionCommitter::commit(const Work& work) {
   const PendingTransaction& pending = work.pending;
-  const ledger::Result result = pending.repeat
-                                    ? client_.commit_repeated(pending.txn, kRateLimitWaitS)
-                                    : client_.commit(pending.txn, kRateLimitWaitS);
+  const ledger::Result result = pending.resend
+                                    ? client_.commit_resent(pending.transaction, kRateLimitWaitS)
+                                    : client_.commit(pending.transaction, kRateLimitWaitS);
   auto state = shared_.lock();
   if (result.outcome == ledger::Outcome::applied)
     reachability_.on_state_service_response(steady_now());
@@ -61,7 +61,8 @@
     }
   }
   shared_.wakeups().commands.notify_one();
-  if (result.outcome == ledger::Outcome::refused || result.outcome == ledger::Outcome::unknown)
+  if (result.outcome == ledger::Outcome::not_executed ||
+      result.outcome == ledger::Outcome::indeterminate)
     shared_.wait_for(state, shared_.wakeups().transactions, kRetryDelayS);
 }
 
--- a/src/fleet/cloud_requests.cpp
+++ b/src/fleet/cloud_requests.cpp
@@ -94,7 +94,7 @@
     case CloudOutcome::refused:
       // The cloud did not execute this copy, but an earlier copy may still be in flight, so the
       // request is repeated under the same name.
-    case CloudOutcome::unknown:
+    case CloudOutcome::indeterminate:
       retry_at_ = now + settings_.tuning.rental_interval_s;
       break;
   }
@@ -137,8 +137,8 @@
   return names;
 }
 
-void CloudRequests::on_return(const std::vector<std::string>& names, CloudOutcome outcome,
-                              double now) {
+void CloudRequests::on_return_result(const std::vector<std::string>& names, CloudOutcome outcome,
+                                     double now) {
   for (const std::string& name : names) {
     const Index index = machines_.index_of(name);
     if (index == kNone) continue;
--- a/src/fleet/cloud_requests.h
+++ b/src/fleet/cloud_requests.h
@@ -70,7 +70,7 @@
   // Selects the machines to return now, in one call to the cloud, marks them as being returned, and
   // returns their names. `cancelled_only`: only machines that may run tasks of cancelled jobs.
   std::vector<std::string> next_return(double now, bool cancelled_only);
-  void on_return(const std::vector<std::string>& names, CloudOutcome outcome, double now);
+  void on_return_result(const std::vector<std::string>& names, CloudOutcome outcome, double now);
 
   // Reconciles the machine table with the cloud's list of machines: adds unknown machines and marks
   // those whose absence from the list is conclusive. `requested_at`: when the list was requested.
--- a/src/fleet/machine_monitor.cpp
+++ b/src/fleet/machine_monitor.cpp
@@ -123,7 +123,7 @@
 }
 
 bool MachineMonitor::counts_as_capacity(const Machine& machine, double now) const {
-  if (machine.cordoned || machine.reclaim_at >= 0 || machine.returning || machine.unreachable())
+  if (machine.cordoned || machine.reclaim_at >= 0 || machine.returning || machine.is_unreachable())
     return false;
   if (machine.state == MachineState::booting) {
     // A machine that has been up but has not registered with this leader is not late, however long
@@ -206,13 +206,13 @@
 
 // ---------------------------------------------------------------- checks, once per round
 
-void MachineMonitor::release_cancelled_work(double now) {
+void MachineMonitor::terminate_machines_with_cancelled_tasks(double now) {
   for (const auto& machine : machines_) {
     if (machine->state == MachineState::terminating || machine->state == MachineState::terminated)
       continue;
     if (holds_overdue_cancelled_tasks(*machine, now))
       MachineTable::terminate(*machine, "holds tasks of a cancelled job");
-    else if (machine->unreachable() && holds_cancelled_tasks(*machine))
+    else if (machine->is_unreachable() && holds_cancelled_tasks(*machine))
       MachineTable::terminate(*machine,
                               "holds tasks of a cancelled job and does not receive replies");
   }
@@ -225,7 +225,7 @@
   for (const auto& machine : machines_) {
     if (!machine->registered || machine->state == MachineState::terminated) continue;
     ++registered;
-    unreachable += machine->unreachable();
+    unreachable += machine->is_unreachable();
   }
   return unreachable >= kManyUnreachableMinMachines &&
          static_cast<double>(unreachable) >=
@@ -237,7 +237,7 @@
   boot_tracker_.update(now);
   const bool many_unreachable = are_many_unreachable();
   for (const auto& machine : machines_) {
-    if (!machine->unreachable())
+    if (!machine->is_unreachable())
       machine->unacknowledged_since = -1;
     else if (machine->unacknowledged_since < 0)
       machine->unacknowledged_since = now;
--- a/src/fleet/machine_monitor.h
+++ b/src/fleet/machine_monitor.h
@@ -46,7 +46,7 @@
   // Terminates only machines that may still run tasks of cancelled jobs: after the cancellation
   // timeout, or at once if the machine is unreachable. Unlike check_machines(), an unconfirmed
   // leader may call it.
-  void release_cancelled_work(double now);
+  void terminate_machines_with_cancelled_tasks(double now);
   // Called after this process did not run for `stall_s` seconds. Heartbeats missed during the stall
   // do not count towards any timeout.
   void on_process_stall(double stall_s, double now);
--- a/src/ledger/page.h
+++ b/src/ledger/page.h
@@ -18,12 +18,12 @@
 // Kind of the jobs whose chunks share a page: services, other jobs that need a prompt start, and
 // all others. Kinds are kept apart so that urgent writes neither wait for other chunks nor carry
 // their bytes.
-enum class PageKind : uint8_t { regular, start_objective, service };
+enum class PageKind : uint8_t { regular, prompt_start, service };
 
 // Urgency of a page write, most urgent first: starts and ends of a service's replicas, starts of
 // other jobs that need a prompt start, other starts, ends of tasks that have to run again, changes
 // that nothing waits for.
-enum class WriteUrgency : uint8_t { replica, start_objective, start, restart, none };
+enum class WriteUrgency : uint8_t { replica, prompt_start, start, restart, none };
 
 // Identifies a chunk (consecutive tasks of a job) by the job and its first task.
 struct ChunkRef {
--- a/src/ledger/page_table.cpp
+++ b/src/ledger/page_table.cpp
@@ -15,7 +15,7 @@
 // starts durable. Pages are filled only up to the lowered limits, which the state service may apply
 // at any time.
 Index PageTable::find_or_add_page(size_t bytes, PageKind kind) {
-  const size_t capacity = ledger::page_capacity(settings_.lasting_value_bytes());
+  const size_t capacity = ledger::page_capacity(settings_.min_value_bytes());
   for (Index i = 0; i < pages_.size(); ++i) {
     Page& page = pages_[i];
     if (!page.readable || page.pending_split_pages > 0) continue;
@@ -49,17 +49,17 @@
 }
 
 void PageTable::remove_chunk(Job& job, uint32_t first) {
-  ChunkPlace& place = job.chunks.at(first);
-  if (place.page == kNone) return;
-  Page& page = pages_[place.page];
+  ChunkLocation& location = job.chunks.at(first);
+  if (location.page == kNone) return;
+  Page& page = pages_[location.page];
   page.chunks.erase({job.id, first});
   page.reserved_bytes -= std::min(page.reserved_bytes, job.chunk_bytes(first));
-  place.page = kNone;
+  location.page = kNone;
 }
 
 void PageTable::remove_job(Job& job) {
-  for (const auto& [first, place] : job.chunks) {
-    const Index i = place.page;
+  for (const auto& [first, location] : job.chunks) {
+    const Index i = location.page;
     remove_chunk(job, first);
     if (i == kNone) continue;
     Page& page = pages_[i];
--- a/src/ledger/rows.cpp
+++ b/src/ledger/rows.cpp
@@ -239,7 +239,7 @@
   }
 }
 
-json encode(const Page& page) {
+json encode(const PageRow& page) {
   json entries = json::array();
   for (const PageEntry& e : page.entries) {
     json live = json::array();
@@ -256,9 +256,9 @@
   return {{"e", std::move(entries)}, {"w", page.transaction_id}};
 }
 
-std::optional<Page> decode_page(const json& v) {
+std::optional<PageRow> decode_page(const json& v) {
   try {
-    Page p;
+    PageRow p;
     for (const json& e : parse_array(v.at("e"))) {
       PageEntry out;
       out.job = parse_name(e.at(0));
--- a/src/ledger/rows.h
+++ b/src/ledger/rows.h
@@ -92,7 +92,7 @@
   // them: version 0.1 would read a part as the whole chunk.
   std::optional<TaskRange> range;
 };
-struct Page {
+struct PageRow {
   std::vector<PageEntry> entries;
   std::string transaction_id;  // of the transaction that wrote the page
 };
@@ -122,7 +122,7 @@
 size_t encoded_size(const std::string& job, const TaskSet& done);
 
 json encode(const JobRow& row);
-json encode(const Page& page);
+json encode(const PageRow& page);
 // Whether a row's value was written by the given transaction.
 bool is_written_by(const json& value, const std::string& transaction_id);
 // The size of a value in bytes, as the state service counts it.
@@ -133,7 +133,7 @@
 void shorten_cancelled(JobRow& row, size_t value_bytes);
 // Empty if the value is malformed; a row is never read in part.
 std::optional<JobRow> decode_job(const std::string& id, const json& v);
-std::optional<Page> decode_page(const json& v);
+std::optional<PageRow> decode_page(const json& v);
 
 json encode_types(const std::vector<MachineType>& types);
 std::vector<MachineType> decode_types(const json& v);
@@ -158,16 +158,16 @@
 };
 
 enum class Outcome : uint8_t {
-  applied,   // committed
-  conflict,  // a condition failed; no copy will be executed
-  refused,   // this copy was not executed (rate limit, service unavailable); it may be resent
-  rejected,  // not executed, and neither will a resent copy be: it is too large or malformed
-  unknown    // indeterminate: it may have been executed or may still be
+  applied,       // committed
+  conflict,      // a condition failed; no copy will be executed
+  not_executed,  // this copy was not executed (rate limit, service unavailable); it may be resent
+  rejected,      // not executed, and neither will a resent copy be: it is too large or malformed
+  indeterminate  // it may have been executed or may still be
 };
 struct Result {
-  Outcome outcome = Outcome::unknown;
+  Outcome outcome = Outcome::indeterminate;
   uint64_t revision = 0;
-  std::vector<std::string> failed;  // keys of the conditions that failed
+  std::vector<std::string> failed_keys;  // keys of the conditions that failed
 };
 
 }  // namespace rookdyke::ledger
--- a/src/ledger_writer/job_closer.cpp
+++ b/src/ledger_writer/job_closer.cpp
@@ -31,7 +31,7 @@
 
 std::vector<Index> JobCloser::jobs_to_close(double now, size_t max_changes) const {
   const size_t max_jobs = std::min(
-      {settings_.lasting_txn_ops(), kMaxJobsPerTransaction, std::max(kMinChanges, max_changes)});
+      {settings_.min_txn_ops(), kMaxJobsPerTransaction, std::max(kMinChanges, max_changes)});
   std::vector<Index> jobs;
   for (const Index index : jobs_.completed()) {
     if (jobs.size() >= max_jobs) break;
--- a/src/ledger_writer/job_closer.h
+++ b/src/ledger_writer/job_closer.h
@@ -32,7 +32,7 @@
   // Adds the final states of the jobs to a transaction that has its id and the condition on the
   // leader key. Sets the jobs to `closing`.
   LedgerWrite begin_write(const std::vector<Index>& jobs, ledger::Transaction transaction);
-  // Handles the result of a write of final states. Its outcome must not be `unknown`.
+  // Handles the result of a write of final states. Its outcome must not be `indeterminate`.
   void on_result(const std::vector<Index>& jobs, const ledger::Result& result, double now);
 
  private:
--- a/src/ledger_writer/ledger_limits.h
+++ b/src/ledger_writer/ledger_limits.h
@@ -22,15 +22,14 @@
     if (!settings_.next_limits || lowered_) return;
     lowered_ = true;
     spdlog::info("the state service has lowered its limits: values of {} bytes at most from now on",
-                 settings_.lasting_value_bytes());
+                 settings_.min_value_bytes());
   }
   bool are_lowered() const { return lowered_; }
 
   // The bytes that the entries of a page may take now. PageTable fills pages only up to the lowered
   // limits; pages that hold more already may be written until the limits are lowered.
   size_t page_capacity() const {
-    return ledger::page_capacity(lowered_ ? settings_.lasting_value_bytes()
-                                          : settings_.value_bytes);
+    return ledger::page_capacity(lowered_ ? settings_.min_value_bytes() : settings_.value_bytes);
   }
 
  private:
--- a/src/ledger_writer/ledger_writer.cpp
+++ b/src/ledger_writer/ledger_writer.cpp
@@ -127,7 +127,8 @@
   in_flight_.erase(it);
   for (const Index index : write.jobs)
     if (Job* job = jobs_.find(index)) --job->in_flight_transactions;
-  if (result.outcome == Outcome::conflict && !resolve_conflicts(result.failed, now)) return false;
+  if (result.outcome == Outcome::conflict && !resolve_conflicts(result.failed_keys, now))
+    return false;
   const bool released_attempts = apply_result(write, result, now);
   apply_deferred_job_changes(write.jobs);
   return released_attempts;
@@ -136,12 +137,12 @@
 // Schedules a resend if a copy of the transaction may still be executed; returns whether it may.
 bool LedgerWriter::schedule_resend_if_indeterminate(InFlightTransaction& in_flight, Outcome outcome,
                                                     double now) {
-  if (outcome == Outcome::unknown) {
+  if (outcome == Outcome::indeterminate) {
     in_flight.resend_at = now + kIndeterminateResendIntervalS;
     return true;
   }
   // This copy was not executed, but an earlier one may have been.
-  if (outcome == Outcome::refused && in_flight.was_resent) {
+  if (outcome == Outcome::not_executed && in_flight.was_resent) {
     in_flight.resend_at = now + kRefusedResendIntervalS;
     return true;
   }
@@ -151,10 +152,9 @@
 // The transaction is too large for the state service or malformed. If it exceeds the lowered
 // limits, the state service has switched to them.
 void LedgerWriter::on_rejection(const ledger::Transaction& transaction) {
-  bool is_too_large = transaction.changes.size() > settings_.lasting_txn_ops();
+  bool is_too_large = transaction.changes.size() > settings_.min_txn_ops();
   for (const ledger::Change& change : transaction.changes)
-    is_too_large =
-        is_too_large || ledger::value_size(change.value) > settings_.lasting_value_bytes();
+    is_too_large = is_too_large || ledger::value_size(change.value) > settings_.min_value_bytes();
   if (is_too_large && settings_.next_limits)
     limits_.apply_lowered();
   else
--- a/src/ledger_writer/ledger_writer.h
+++ b/src/ledger_writer/ledger_writer.h
@@ -52,9 +52,9 @@
   // `max_changes` is the number of changes that the write rate permits now; it limits only the
   // final states of jobs, of which a few are always permitted.
   std::optional<PendingTransaction> next_transaction(double now, size_t max_changes);
-  // Handles the result of a transaction; its outcome is `unknown` if the response was lost. Returns
-  // whether ended attempts were released. Their tasks may then be startable again, which calls for
-  // a scheduling round soon.
+  // Handles the result of a transaction; its outcome is `indeterminate` if the response was lost.
+  // Returns whether ended attempts were released. Their tasks may then be startable again, which
+  // calls for a scheduling round soon.
   bool on_result(uint64_t id, const ledger::Result& result, double now);
 
   // The number of completed jobs and dirty pages to be written and of transactions in flight.
--- a/src/ledger_writer/page_splitter.cpp
+++ b/src/ledger_writer/page_splitter.cpp
@@ -42,7 +42,7 @@
   Page& page = pages_[number];
   page.split_from = source;
   page.dirty_since = now;
-  page.write_urgency = WriteUrgency::start_objective;
+  page.write_urgency = WriteUrgency::prompt_start;
   ++pages_[source].pending_split_pages;
   return {number, 0};
 }
@@ -63,8 +63,8 @@
 }
 
 void PageSplitter::split_chunk(Job& job, uint32_t first) {
-  const ChunkPlace whole = job.chunks.at(first);
-  const uint32_t max_tasks = ledger::tasks_per_chunk(settings_.lasting_value_bytes());
+  const ChunkLocation whole = job.chunks.at(first);
+  const uint32_t max_tasks = ledger::tasks_per_chunk(settings_.min_value_bytes());
   const uint32_t tasks_per_piece = std::max(1u, std::min(max_tasks, whole.count / 2));
   pages_.remove_chunk(job, first);
   job.chunks.erase(first);
--- a/src/ledger_writer/page_writer.cpp
+++ b/src/ledger_writer/page_writer.cpp
@@ -33,7 +33,7 @@
 
 // The page must be dirty.
 WriteOrder write_order(const Page& page, double now) {
-  constexpr int kMaxUrgencyByAge = static_cast<int>(WriteUrgency::start_objective);
+  constexpr int kMaxUrgencyByAge = static_cast<int>(WriteUrgency::prompt_start);
   const double dirty_since = page.dirty_since.value();
   const int urgency = static_cast<int>(page.write_urgency);
   if (urgency <= kMaxUrgencyByAge) return {urgency, dirty_since};
@@ -56,7 +56,7 @@
     Job* job;
     Attempt* attempt;
   };
-  ledger::Page page;
+  ledger::PageRow page;
   size_t size = 0;  // bytes of its entries
   std::vector<Start> starts;
   std::vector<TaskRef> started, ended;
@@ -105,7 +105,7 @@
   page.in_flight = true;
   page.mark_clean();
   if (draft.has_omitted_starts) {
-    page.mark_dirty(WriteUrgency::start_objective, now);
+    page.mark_dirty(WriteUrgency::prompt_start, now);
     page.retry_at = now + kOmittedStartsRetryS;
   }
   return {std::move(transaction), draft.jobs(),
@@ -154,7 +154,7 @@
 // condition on the page's version ensures that at most one copy of the transaction is applied if it
 // is resent or delayed.
 void PageWriter::add_starts(Draft& draft, std::vector<ledger::Condition>& conditions) {
-  const size_t max_conditions = kConditionsPerChange * settings_.lasting_txn_ops();
+  const size_t max_conditions = kConditionsPerChange * settings_.min_txn_ops();
   std::set<Index> jobs_with_condition;  // jobs whose version is among the conditions
   for (const Draft::Start& start : draft.starts) {
     const Job& job = *start.job;
@@ -195,14 +195,14 @@
 // no worker was told to start them; all others are written again.
 void PageWriter::on_not_applied(Page& page, const std::vector<Index>& jobs, ledger::Outcome outcome,
                                 double now) {
-  if (outcome == ledger::Outcome::refused) page.retry_at = now + kRefusedRetryIntervalS;
+  if (outcome == ledger::Outcome::not_executed) page.retry_at = now + kRefusedRetryIntervalS;
   if (outcome == ledger::Outcome::rejected) {
     const bool is_too_large = content_.size_with_proposals(page) > limits_.page_capacity();
     page.retry_at = now + (is_too_large ? 0 : kRejectedRetryIntervalS);
   }
   if (!page.dirty_since) page.dirty_since = now;
   page.write_urgency =
-      page.kind == PageKind::service ? WriteUrgency::replica : WriteUrgency::start_objective;
+      page.kind == PageKind::service ? WriteUrgency::replica : WriteUrgency::prompt_start;
   for (const Index index : jobs)
     if (Job* job = jobs_.find(index); job && (job->is_stale() || job->is_finished()))
       lifecycle_.withdraw_proposals(*job, true);
--- a/src/ledger_writer/page_writer.h
+++ b/src/ledger_writer/page_writer.h
@@ -42,8 +42,8 @@
   // Adds the page to a transaction that has its id and the condition on the leader key, and marks
   // the page as in flight. Withdraws proposals that are no longer valid.
   LedgerWrite begin_write(Index page, ledger::Transaction transaction, double now);
-  // Handles the result of a page write. Its outcome must not be `unknown`. Returns whether ended
-  // attempts were released.
+  // Handles the result of a page write. Its outcome must not be `indeterminate`. Returns whether
+  // ended attempts were released.
   bool on_result(const PageWrite& write, const std::vector<Index>& jobs,
                  const ledger::Result& result, double now);
 
--- a/src/ledger_writer/rented_list_writer.cpp
+++ b/src/ledger_writer/rented_list_writer.cpp
@@ -24,7 +24,7 @@
 
 LedgerWrite RentedListWriter::begin_write(ledger::Transaction transaction, double now) {
   const auto lookup = [this](Index index) { return listed_machine(index); };
-  rented_list_.write(now, settings_.lasting_txn_ops(), lookup, catalog_.type_names, catalog_.zones,
+  rented_list_.write(now, settings_.min_txn_ops(), lookup, catalog_.type_names, catalog_.zones,
                      transaction);
   return {std::move(transaction), {}, RentedListWrite{}};
 }
--- a/src/ledger_writer/rented_list_writer.h
+++ b/src/ledger_writer/rented_list_writer.h
@@ -33,7 +33,7 @@
   // Adds changed rows to a transaction that has its id and the condition on the leader key.
   // Requires can_write(now).
   LedgerWrite begin_write(ledger::Transaction transaction, double now);
-  // Handles the result of a write. Its outcome must not be `unknown`.
+  // Handles the result of a write. Its outcome must not be `indeterminate`.
   void on_result(const ledger::Transaction& transaction, const ledger::Result& result) {
     rented_list_.on_result(transaction, result);
   }
--- a/src/mesh/mesh.cpp
+++ b/src/mesh/mesh.cpp
@@ -112,8 +112,8 @@
   }
 }
 
-PeerClient::PeerClient(const Sibling& sibling)
-    : label_(sibling.label), http_(sibling.mesh.host, sibling.mesh.port) {
+PeerClient::PeerClient(const PeerController& peer)
+    : label_(peer.label), http_(peer.mesh.host, peer.mesh.port) {
   http_.set_keep_alive(true);
   http_.set_tcp_nodelay(true);
   http_.set_connection_timeout(kConnectTimeout);
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -64,7 +64,7 @@
 // out after at most half a second.
 class PeerClient {
  public:
-  explicit PeerClient(const Sibling& sibling);
+  explicit PeerClient(const PeerController& peer);
 
   const std::string& label() const { return label_; }
   // Sends this controller's view and returns the peer's, or nullopt without a valid response.
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -22,28 +22,28 @@
   uint64_t epoch = 0;
   AttemptState state = AttemptState::proposed;
   ExitCause cause = ExitCause::none;
-  bool stop = false;   // it is to leave its machine
-  double grace_s = 0;  // with this much time to save
-  double since = 0;    // proposed or taken over at
+  bool stop_requested = false;  // it is to leave its machine
+  double grace_s = 0;           // with this much time to save
+  double since = 0;             // proposed or taken over at
   double running_since = 0;
-  bool proven = false;    // a replica that ran for long enough to show that it can
-  bool shielded = false;  // its job had starved: not to be stopped for higher ranks
-  bool direct = false;    // a `run` sent straight to its worker may still be executed
+  bool known_healthy = false;         // a replica that ran for long enough to show that it can
+  bool preemption_exempt = false;     // its job had starved: not to be stopped for higher ranks
+  bool direct_start_pending = false;  // a `run` sent straight to its worker may still be executed
 };
 
 // The page that some consecutive tasks of a job lie in; kNone: never written.
-struct ChunkPlace {
+struct ChunkLocation {
   uint32_t count = 0;  // of tasks
   Index page = kNone;
 };
 
 // A job's place in the queue and its turn there. Written by placement alone.
 struct JobPlacement {
-  bool guaranteed = false;            // within its team's guarantee, as of this round
-  double urgency = 0;                 // as of this round, smallest first
-  double last_start = -1;             // a task of it was last placed, or its turn was over
-  uint32_t starvation_allowance = 0;  // a starved array's: tasks that it may still begin
-  double reserve_retry_at = 0;        // machines to reserve are looked for no earlier
+  bool guaranteed = false;                // within its team's guarantee, as of this round
+  double queue_key = 0;                   // as of this round, smallest first
+  double last_start = -1;                 // a task of it was last placed, or its turn was over
+  uint32_t starvation_allowance = 0;      // a starved array's: tasks that it may still begin
+  double next_reservation_search_at = 0;  // machines to reserve are looked for no earlier
 };
 
 struct Job {
@@ -54,31 +54,31 @@
   JobState state = JobState::open;
   uint64_t version = 0;
   double timestamp_s = 0;
-  double seen_at = 0;       // on our clock: when it was accepted, as far as times of day can tell
+  double accepted_at = 0;   // on our clock: when it was accepted, as far as times of day can tell
   uint32_t chunk_size = 1;  // tasks a chunk, as the job's row has it
   std::set<uint32_t> waiting;            // tasks without an attempt
   std::map<uint32_t, Attempt> attempts;  // at most one per task, ever (rule ran_twice)
   ledger::TaskSet done;
   uint32_t done_count = 0;
-  uint32_t proposed = 0;                  // attempts whose start is not durable yet
-  uint64_t highest_attempt = 0;           // highest attempt number used
-  std::map<uint32_t, ChunkPlace> chunks;  // by first task; together they hold all tasks
+  uint32_t proposed = 0;                     // attempts whose start is not durable yet
+  uint64_t highest_attempt = 0;              // highest attempt number used
+  std::map<uint32_t, ChunkLocation> chunks;  // by first task; together they hold all tasks
   uint32_t in_flight_transactions = 0;  // transactions under way that name its row or its attempts
-  bool has_start_promise = false;       // its class is promised a prompt start
+  bool needs_prompt_start = false;      // its class is promised a prompt start
   double stale_since = -1;              // its row changed under us: the watch has to bring it
   double share = 0;                     // of the smallest machine that a task takes
-  std::vector<double> start_within;     // what its class is promised of starting
-  double missing_since = -1;            // a service's: a replica of it has last ended
+  std::vector<double> start_objectives_s;  // what its class is promised of starting
+  double replica_missing_since = -1;       // a service's: a replica of it has last ended
   JobPlacement placement;
   double cancelled_at = -1;
-  double not_before = 0;            // back-off after errors of its own
+  double back_off_until = 0;        // back-off after errors of its own
   double retry_at = 0;              // after a refused transaction
   std::set<Index> failed_machines;  // machines where it failed since it last succeeded
   uint32_t errors = 0;
   uint32_t tasks() const { return spec.tasks; }
   PageKind page_kind() const {
     if (is_service()) return PageKind::service;
-    return has_start_promise ? PageKind::start_objective : PageKind::regular;
+    return needs_prompt_start ? PageKind::prompt_start : PageKind::regular;
   }
   bool is_gang() const { return spec.shape == JobShape::gang; }
   bool is_finished() const { return state == JobState::done || state == JobState::cancelled; }
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -50,8 +50,8 @@
   // Heartbeats with an older token than ours, though they were answered; none once registered.
   double older_token_since = -1;
   int heartbeats_with_older_token = 0;
-  double older_token_at = 0;     // the last that was counted
-  HeartbeatId older_token_last;  // the latest
+  double last_older_token_at = 0;   // the last that was counted
+  HeartbeatId last_older_token_id;  // the latest
 
   // Commands.
   CommandAcknowledgement acknowledgement;  // of the replies to its heartbeats
@@ -59,9 +59,9 @@
   bool direct_in_flight = false;
   // Attempts for which a direct command stays unanswered: a late copy may be executed as long as
   // token and epoch hold, and would start a cleared attempt anew, so these are never cleared.
-  std::set<AttemptRef> unanswered_starts;
+  std::set<AttemptRef> indeterminate_starts;
   // Whether its worker does not receive our replies, however regularly its heartbeats arrive.
-  bool unreachable() const { return acknowledgement.is_unreachable(); }
+  bool is_unreachable() const { return acknowledgement.is_unreachable(); }
 
   // What is on it.
   Resources used;                                 // by attempts that have not ended
@@ -75,9 +75,9 @@
   Index reserved_for = kNone;  // a job that others were stopped for
   double reserved_until = 0;
 
-  bool usable() const {
+  bool is_usable() const {
     return state == MachineState::ready && registered && !cordoned && !has_unknown_tasks &&
-           !unreachable();
+           !is_unreachable();
   }
 };
 
--- a/src/model/scheduler_messages.h
+++ b/src/model/scheduler_messages.h
@@ -30,8 +30,8 @@
 // A transaction on the state service.
 struct PendingTransaction {
   uint64_t id = 0;
-  ledger::Transaction txn;
-  bool repeat = false;  // an earlier copy may still be executed: it goes out unchanged
+  ledger::Transaction transaction;
+  bool resend = false;  // an earlier copy may still be executed: it goes out unchanged
 };
 
 // A request for so many machines of a kind, under a name that makes it idempotent.
@@ -42,6 +42,6 @@
 };
 
 // What the cloud answered. unknown: no answer came, the call may have been carried out.
-enum class CloudOutcome : uint8_t { done, no_capacity, refused, unknown };
+enum class CloudOutcome : uint8_t { done, no_capacity, refused, indeterminate };
 
 }  // namespace rookdyke
--- a/src/model/settings.h
+++ b/src/model/settings.h
@@ -65,10 +65,10 @@
   Tuning tuning;
 
   // The sizes that hold before and after that moment: what is laid out anew keeps to them.
-  size_t lasting_value_bytes() const {
+  size_t min_value_bytes() const {
     return next_limits ? std::min(value_bytes, next_limits->value_bytes) : value_bytes;
   }
-  size_t lasting_txn_ops() const {
+  size_t min_txn_ops() const {
     return next_limits ? std::min(txn_ops, next_limits->txn_ops) : txn_ops;
   }
 };
--- a/src/model/types.h
+++ b/src/model/types.h
@@ -72,10 +72,10 @@
     return share;
   }
   // The slack absorbs the rounding of sums of decimal amounts.
-  bool fits_in(const Resources& room) const {
-    constexpr double kSlack = 1e-6;
-    return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack &&
-           memory_gb <= room.memory_gb + kSlack;
+  bool fits_in(const Resources& available) const {
+    constexpr double kRoundingSlack = 1e-6;
+    return cpus <= available.cpus + kRoundingSlack && gpus <= available.gpus + kRoundingSlack &&
+           memory_gb <= available.memory_gb + kRoundingSlack;
   }
 };
 
@@ -160,7 +160,7 @@
   uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::fetching;
   ExitCause cause = ExitCause::none;
-  bool saved = false;  // whether its progress was saved before it ended
+  bool checkpoint_saved = false;  // whether its progress was saved before it ended
 
   bool is_of(const AttemptRef& ref) const {
     return task == ref.task && attempt == ref.attempt && job == ref.job;
@@ -195,7 +195,7 @@
 enum class CommandKind : uint8_t { start, stop, forget };
 
 struct WorkerCommand {
-  CommandKind verb = CommandKind::start;
+  CommandKind kind = CommandKind::start;
   std::string job;
   uint32_t task = 0;
   uint64_t attempt = 0;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -258,7 +258,7 @@
   ::close(wake_);
 }
 
-void Server::close_after_answer() { close_requested = true; }
+void Server::close_after_response() { close_requested = true; }
 
 void Server::close(const std::shared_ptr<ConnectionStream>& stream) {
   --open_;
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -3,7 +3,7 @@
 // Idle connections are watched together by one epoll thread (a thread each took 45 KB), and take a
 // thread of a bounded pool only while a request is served. A request usually takes one recv, an
 // answer one send; the listen backlog is deep, since all workers reconnect at the same time. Owned
-// by the controller: one server for users and workers, one for siblings.
+// by the controller: one server for users and workers, one for peer controllers.
 
 #include <httplib.h>
 #include <sys/epoll.h>
@@ -60,7 +60,7 @@
   void halt();
   int port() const { return at_.port; }
   // To be called by a handler: the connection is closed after this answer.
-  static void close_after_answer();
+  static void close_after_response();
 
  private:
   using Time = std::chrono::steady_clock::time_point;
--- a/src/net/write_share.cpp
+++ b/src/net/write_share.cpp
@@ -18,16 +18,16 @@
 constexpr double kDemandHeadroom = 1.5;  // a follower's share, as a multiple of its demand
 constexpr double kDemandDecay = 0.7;     // of this replica's demand, from one call to the next
 constexpr double kMinPeriodS = 0.2;
-constexpr double kDemandValidS = 6;  // how long a sibling's reported demand counts
+constexpr double kDemandValidS = 6;  // how long a peer controller's reported demand counts
 constexpr double kReachableS = kDemandValidS / 2;
 constexpr double kMaxDemand = 1e6;  // changes a second; a higher one is not believed
 
 }  // namespace
 
-WriteShare::WriteShare(std::string label, std::vector<std::string> siblings, int replicas,
+WriteShare::WriteShare(std::string label, std::vector<std::string> peers, int replicas,
                        double writes_per_s)
     : label_(std::move(label)),
-      siblings_(std::move(siblings)),
+      peers_(std::move(peers)),
       replicas_(replicas),
       writes_per_s_(std::max(1e-3, writes_per_s)) {}
 
@@ -37,18 +37,17 @@
   own_demand_ = std::max({writes / period, kDemandDecay * own_demand_, backlog});
 }
 
-void WriteShare::record_sibling(const std::string& label, double demand, double now) {
+void WriteShare::record_peer(const std::string& label, double demand, double now) {
   // Unknown labels are not stored: they would take memory without limit.
-  if (std::find(siblings_.begin(), siblings_.end(), label) == siblings_.end()) return;
-  sibling_demands_[label] = {std::clamp(demand, 0.0, kMaxDemand), now};
+  if (std::find(peers_.begin(), peers_.end(), label) == peers_.end()) return;
+  peer_demands_[label] = {std::clamp(demand, 0.0, kMaxDemand), now};
 }
 
-int WriteShare::reachable_siblings(double now) const {
-  return static_cast<int>(
-      std::count_if(siblings_.begin(), siblings_.end(), [&](const std::string& s) {
-        auto it = sibling_demands_.find(s);
-        return it != sibling_demands_.end() && now - it->second.at < kReachableS;
-      }));
+int WriteShare::reachable_peers(double now) const {
+  return static_cast<int>(std::count_if(peers_.begin(), peers_.end(), [&](const std::string& s) {
+    auto it = peer_demands_.find(s);
+    return it != peer_demands_.end() && now - it->second.at < kReachableS;
+  }));
 }
 
 double WriteShare::share(const std::string& leader, double now) const {
@@ -61,7 +60,7 @@
       followers += follower_share(demand);
   };
   add(label_, own_demand_);
-  for (const std::string& sibling : siblings_) add(sibling, sibling_demand(sibling, now));
+  for (const std::string& peer : peers_) add(peer, peer_demand(peer, now));
   const double max_followers =
       leader_demand > kBusyLeader ? kMaxFollowersBesideBusyLeader : kMaxFollowers;
   const double scale = followers > max_followers ? max_followers / followers : 1;
@@ -73,10 +72,9 @@
   return kDemandHeadroom * demand / writes_per_s_ + kMinFollowers / (replicas_ - 1);
 }
 
-double WriteShare::sibling_demand(const std::string& label, double now) const {
-  auto it = sibling_demands_.find(label);
-  return it != sibling_demands_.end() && now - it->second.at < kDemandValidS ? it->second.writes
-                                                                             : 0;
+double WriteShare::peer_demand(const std::string& label, double now) const {
+  auto it = peer_demands_.find(label);
+  return it != peer_demands_.end() && now - it->second.at < kDemandValidS ? it->second.writes : 0;
 }
 
 }  // namespace rookdyke::net
--- a/src/net/write_share.h
+++ b/src/net/write_share.h
@@ -9,24 +9,25 @@
 
 namespace rookdyke::net {
 
-// One replica's own demand, the last reported demand of each sibling, and this replica's share.
-// Pure: all times are arguments, in seconds of a steady clock. Not thread-safe: the owner locks.
+// One replica's own demand, the last reported demand of each peer controller, and this replica's
+// share. Pure: all times are arguments, in seconds of a steady clock. Not thread-safe: the owner
+// locks.
 class WriteShare {
  public:
   // `replicas` counts this one too; `writes_per_s` is the limit for all together.
-  WriteShare(std::string label, std::vector<std::string> siblings, int replicas,
-             double writes_per_s);
+  WriteShare(std::string label, std::vector<std::string> peers, int replicas, double writes_per_s);
 
   // This replica asked for `writes` changes since the last call; `backlog`: changes that a leader
   // still has to make, 0 for followers.
   void record_own(double writes, double backlog, double now);
-  // This replica's demand in changes a second, to be reported to its siblings. It rises at once and
-  // falls slowly.
+  // This replica's demand in changes a second, to be reported to its peer controllers. It rises at
+  // once and falls slowly.
   double own_demand() const { return own_demand_; }
-  // A sibling reported its demand in changes a second. Ignored if the label is no sibling's.
-  void record_sibling(const std::string& label, double demand, double now);
-  // How many siblings reported recently, and so can be reached.
-  int reachable_siblings(double now) const;
+  // A peer controller reported its demand in changes a second. Ignored if the label is no peer
+  // controller's.
+  void record_peer(const std::string& label, double demand, double now);
+  // How many peer controllers reported recently, and so can be reached.
+  int reachable_peers(double now) const;
 
   // The limit for all replicas together has changed to this.
   void set_limit(double writes_per_s) { writes_per_s_ = writes_per_s; }
@@ -43,14 +44,14 @@
   };
   // A follower's share for that demand, before scaling to the maximum for all followers together.
   double follower_share(double demand) const;
-  // A sibling's last reported demand; 0 if that is too long ago.
-  double sibling_demand(const std::string& label, double now) const;
+  // A peer controller's last reported demand; 0 if that is too long ago.
+  double peer_demand(const std::string& label, double now) const;
 
   const std::string label_;
-  const std::vector<std::string> siblings_;
+  const std::vector<std::string> peers_;
   const int replicas_;
   double writes_per_s_;
-  std::map<std::string, Demand> sibling_demands_;
+  std::map<std::string, Demand> peer_demands_;
   double own_demand_ = 0;
   double own_at_ = 0;
 };
--- a/src/placement/eligibility.cpp
+++ b/src/placement/eligibility.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 bool Eligibility::accepts_tasks(const Machine& machine, double now) const {
-  if (!machine.usable() || machine.type == kNone || now < machine.suspect_until) return false;
+  if (!machine.is_usable() || machine.type == kNone || now < machine.suspect_until) return false;
   return now - machine.last_heartbeat <= kMaxHeartbeatAgeIntervals * settings_.heartbeat_interval_s;
 }
 
@@ -27,8 +27,8 @@
   // The outcome of a direct start of an earlier attempt of this job on the machine is
   // indeterminate. While the worker's epoch lasts, that attempt must not be cleared from the
   // worker's list of tasks, so the machine takes no further attempt of the job.
-  const auto& unanswered = machine.unanswered_starts;
-  if (std::any_of(unanswered.begin(), unanswered.end(),
+  const auto& indeterminate = machine.indeterminate_starts;
+  if (std::any_of(indeterminate.begin(), indeterminate.end(),
                   [&](const auto& start) { return start.job == job.spec.id; }))
     return false;
   return !job.failed_machines.count(machine.index) ||
--- a/src/placement/gang_placement.cpp
+++ b/src/placement/gang_placement.cpp
@@ -21,7 +21,7 @@
 bool may_reserve_capacity(const Job& job, const PlacementRound& round) {
   if (JobQueue::is_starved(job, round.now)) return true;
   const double waited = round.now - JobQueue::waiting_since(job);
-  if (waited < (job.has_start_promise ? kPromptStartReserveAfterS : kReserveAfterS)) return false;
+  if (waited < (job.needs_prompt_start ? kPromptStartReserveAfterS : kReserveAfterS)) return false;
   return job.tasks() * job.share <= kMaxReservingShare * static_cast<double>(round.ready_machines);
 }
 
--- a/src/placement/job_queue.cpp
+++ b/src/placement/job_queue.cpp
@@ -29,7 +29,7 @@
 struct QueueEntry {
   bool starved, guaranteed;
   Priority priority;
-  double urgency;
+  double queue_key;
   Index job;
 };
 
@@ -39,12 +39,12 @@
     if (a.guaranteed != b.guaranteed) return a.guaranteed;
     if (a.priority != b.priority) return a.priority > b.priority;
   }
-  return std::tie(a.urgency, a.job) < std::tie(b.urgency, b.job);
+  return std::tie(a.queue_key, a.job) < std::tie(b.queue_key, b.job);
 }
 
 bool may_start_now(const Job& job, double now) {
   return job.state == JobState::open && !job.waiting.empty() && !job.is_stale() &&
-         now >= job.not_before;
+         now >= job.back_off_until;
 }
 
 Resources component_wise_min(const Resources& a, const Resources& b) {
@@ -54,7 +54,7 @@
 }  // namespace
 
 double JobQueue::waiting_since(const Job& job) {
-  return std::max(job.seen_at, job.placement.last_start);
+  return std::max(job.accepted_at, job.placement.last_start);
 }
 
 bool JobQueue::is_starved(const Job& job, double now) {
@@ -83,15 +83,15 @@
 // start-time objective come first, then jobs whose longer objective is due soon, both ordered by
 // the time left. Other jobs, and those that missed their objectives, are ordered by age. Remaining
 // work raises the key, so that most jobs of a queue are in time if not all can be.
-double JobQueue::urgency(const Job& job, double now) const {
+double JobQueue::queue_key(const Job& job, double now) const {
   // Waiting tasks of a service are missing replicas: their wait counts from when a replica last
   // ended, however old the service is.
   if (job.is_service())
-    return std::max(job.seen_at, job.missing_since) - now - kPromptStartPrecedenceS;
-  const double age = now - job.seen_at;
-  for (const double within : job.start_within) {
+    return std::max(job.accepted_at, job.replica_missing_since) - now - kPromptStartPrecedenceS;
+  const double age = now - job.accepted_at;
+  for (const double within : job.start_objectives_s) {
     if (within <= age) continue;
-    if (job.has_start_promise) return within - age - kPromptStartPrecedenceS;
+    if (job.needs_prompt_start) return within - age - kPromptStartPrecedenceS;
     if (within - age < kDueSoonS) return within - age - kDueSoonPrecedenceS;
   }
   const double left = (job.tasks() - job.done_count) * job.share * job.spec.expected_runtime_s;
@@ -106,9 +106,9 @@
   for (const auto& job : jobs_) {
     if (!job || !may_start_now(*job, now)) continue;
     const bool starved = is_starved(*job, now);
-    job->placement.urgency = starved ? waiting_since(*job) : urgency(*job, now);
-    entries.push_back(
-        {starved, job->placement.guaranteed, job->spec.priority, job->placement.urgency, job->id});
+    job->placement.queue_key = starved ? waiting_since(*job) : queue_key(*job, now);
+    entries.push_back({starved, job->placement.guaranteed, job->spec.priority,
+                       job->placement.queue_key, job->id});
     smallest_request_ = component_wise_min(smallest_request_, job->spec.per_task);
   }
   std::sort(entries.begin(), entries.end(),
--- a/src/placement/job_queue.h
+++ b/src/placement/job_queue.h
@@ -1,11 +1,11 @@
 #pragma once
 // The order in which jobs with waiting tasks are placed in a round. Sets the jobs' sort keys
-// JobPlacement::guaranteed and JobPlacement::urgency. Placement rebuilds the queue at the start of
-// every round; the classes that place, preempt and reserve read it.
+// JobPlacement::guaranteed and JobPlacement::queue_key. Placement rebuilds the queue at the start
+// of every round; the classes that place, preempt and reserve read it.
 //
 // Starved jobs come first, beginning with the one that has waited longest. Other jobs are ordered
 // by whether they are within their team's guarantee, then by priority, then by
-// JobPlacement::urgency (lowest value first). Ties are broken by job index.
+// JobPlacement::queue_key (lowest value first). Ties are broken by job index.
 
 #include <vector>
 
@@ -40,7 +40,7 @@
 
  private:
   void update_guaranteed();
-  double urgency(const Job& job, double now) const;
+  double queue_key(const Job& job, double now) const;
 
   const Settings& settings_;
   const Catalog& catalog_;
--- a/src/placement/machine_reservations.cpp
+++ b/src/placement/machine_reservations.cpp
@@ -88,11 +88,12 @@
   for (const auto& [j, task] : machine.tasks) {
     const Job& other = jobs_[j];
     const Attempt& attempt = other.attempts.at(task);
-    if (other.is_service() && !attempt.stop) continue;  // replicas do not end by themselves
+    if (other.is_service() && !attempt.stop_requested)
+      continue;  // replicas do not end by themselves
     const double since = attempt.state == AttemptState::running ? attempt.running_since : now;
     const double estimate =
         std::max(since + other.spec.expected_runtime_s, now + kMinRemainingRunS);
-    ends.push_back({attempt.stop ? now : estimate, &other});
+    ends.push_back({attempt.stop_requested ? now : estimate, &other});
   }
   std::sort(ends.begin(), ends.end(), [](const ExpectedEnd& a, const ExpectedEnd& b) {
     return std::tie(a.time, a.job) < std::tie(b.time, b.job);
@@ -147,10 +148,10 @@
   const size_t wanted = job.is_gang() ? job.waiting.size() : 1;
   const size_t have = renew(job, now);
   reserved_in_round_ += have;
-  if (have >= wanted || now < job.placement.reserve_retry_at) return;
+  if (have >= wanted || now < job.placement.next_reservation_search_at) return;
   const size_t more = wanted - have;
   if (exceeds_limit(more, round.ready_machines)) return;
-  job.placement.reserve_retry_at = now + kReserveRetryS;
+  job.placement.next_reservation_search_at = now + kReserveRetryS;
   std::vector<MachineAvailability> machines = find_available_machines(job, now);
   if (job.spec.single_zone && job.is_gang()) {
     const Index zone = select_zone(job, machines, wanted);
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -20,14 +20,14 @@
 
 // Whether the job is placed strictly in queue order, regardless of image locality.
 bool keeps_queue_position(const Job& job, double now) {
-  return job.is_gang() || job.has_start_promise || JobQueue::is_starved(job, now);
+  return job.is_gang() || job.needs_prompt_start || JobQueue::is_starved(job, now);
 }
 
 // Whether the job may be placed before the first array in the queue to use a cached image.
 bool may_overtake(const Job& job, const Job& first_array) {
   return job.spec.priority == first_array.spec.priority &&
          job.placement.guaranteed == first_array.placement.guaranteed &&
-         job.placement.urgency <= first_array.placement.urgency + kLocalityWindowS;
+         job.placement.queue_key <= first_array.placement.queue_key + kLocalityWindowS;
 }
 
 }  // namespace
--- a/src/placement/placement_search.cpp
+++ b/src/placement/placement_search.cpp
@@ -76,7 +76,7 @@
   const MachineType& type = catalog_.types[machine.type];
   double score = fetch_delay_s(job, machine);
   if (job.spec.spot && !machine.spot && !job.is_service()) score += kSpotPreferenceS;
-  if (!job.has_start_promise)
+  if (!job.needs_prompt_start)
     for (const auto& [image, held] : machine.images)
       if (image != job.image && catalog_.prompt_start_images.count(image))
         score += kPromptStartImagePenalty * type.fetch_time_s(held.size_gb);
@@ -86,7 +86,7 @@
 
 bool PlacementSearch::has_image(const Job& job, const Machine& machine) const {
   if (machine.images.count(job.image)) return true;
-  return !job.has_start_promise &&
+  return !job.needs_prompt_start &&
          std::any_of(machine.tasks.begin(), machine.tasks.end(),
                      [&](const auto& task) { return jobs_[task.first].image == job.image; });
 }
@@ -94,10 +94,10 @@
 // Requires the image while a start that fetches it would miss the next objective but a start on a
 // machine that has it can still meet the objective.
 ImageLocality PlacementSearch::needed_locality(const Job& job, double now) const {
-  const double age = now - job.seen_at;
-  if (!job.has_start_promise || !job.attempts.empty() || job.is_service())
+  const double age = now - job.accepted_at;
+  if (!job.needs_prompt_start || !job.attempts.empty() || job.is_service())
     return ImageLocality::preferred;
-  for (const double within : job.start_within) {
+  for (const double within : job.start_objectives_s) {
     if (within <= age) continue;
     double fetch = 0;
     for (const MachineType& type : catalog_.types)
@@ -140,7 +140,7 @@
     ++work_.machines_examined;
     // A result that depends on this job must not be recorded as unplaceable for other jobs.
     job_specific =
-        job_specific || machine.reserved_for != kNone || !machine.unanswered_starts.empty();
+        job_specific || machine.reserved_for != kNone || !machine.indeterminate_starts.empty();
     if (!eligibility_.may_run(job, machine, now)) continue;
     const uint32_t slots = slots_on(job, machine);
     if (slots == 0 || (requires_image && !has_image(job, machine))) continue;
--- a/src/placement/placement_search.h
+++ b/src/placement/placement_search.h
@@ -59,7 +59,7 @@
   void record_unplaceable(const Job& job, uint32_t count);
 
   // Whether the machine has the job's image or is fetching it for another task. For a job with a
-  // prompt start-time objective (Job::has_start_promise), only an image in the cache counts.
+  // prompt start-time objective (Job::needs_prompt_start), only an image in the cache counts.
   bool has_image(const Job& job, const Machine& machine) const;
   // The locality that the job needs to meet its next start-time objective.
   ImageLocality needed_locality(const Job& job, double now) const;
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -74,11 +74,11 @@
   for (const auto& [j, task] : machine.tasks) {
     const Job& other = jobs_[j];
     const Attempt& attempt = other.attempts.at(task);
-    if (attempt.stop) {
+    if (attempt.stop_requested) {
       available += other.spec.per_task;
       continue;
     }
-    if (attempt.state == AttemptState::proposed || attempt.shielded || other.is_gang() ||
+    if (attempt.state == AttemptState::proposed || attempt.preemption_exempt || other.is_gang() ||
         !may_preempt(job, other))
       continue;
     if (other.is_service() && !holds_scarce_resource(job, available, other)) continue;
--- a/src/placement/replica_mover.cpp
+++ b/src/placement/replica_mover.cpp
@@ -30,7 +30,7 @@
 uint32_t ReplicaMover::missing_replicas(const Job& job) const {
   auto missing = static_cast<uint32_t>(job.waiting.size());
   for (const auto& [task, attempt] : job.attempts)
-    missing += attempt.stop || attempt.state == AttemptState::ended ||
+    missing += attempt.stop_requested || attempt.state == AttemptState::ended ||
                attempt.state < AttemptState::running;
   return missing;
 }
@@ -56,7 +56,8 @@
   for (const auto& [j, task] : machine.tasks) {
     Job& job = jobs_[j];
     Attempt& attempt = job.attempts.at(task);
-    if (!job.is_service() || attempt.stop || attempt.state == AttemptState::proposed) continue;
+    if (!job.is_service() || attempt.stop_requested || attempt.state == AttemptState::proposed)
+      continue;
     if (!may_move_replica(job) || !has_alternative_machine(job, machine, now)) continue;
     lifecycle_.stop(job, attempt, 0);
   }
--- a/src/scheduler/catalog.h
+++ b/src/scheduler/catalog.h
@@ -45,7 +45,7 @@
 
   std::vector<MachineType> types;  // by type index
   NameTable type_names, zones, teams, images, job_classes;
-  std::set<Index> prompt_start_images;  // images of jobs with Job::has_start_promise set
+  std::set<Index> prompt_start_images;  // images of jobs with Job::needs_prompt_start set
 };
 
 }  // namespace rookdyke
--- a/src/scheduler/job_loader.cpp
+++ b/src/scheduler/job_loader.cpp
@@ -97,8 +97,8 @@
   job.spec.tasks = row.row.tasks;
   job.version = row.version;
   job.timestamp_s = row.row.timestamp_s;
-  job.seen_at = now;
-  if (time_of_day_offset_) job.seen_at = std::min(now, job.timestamp_s - *time_of_day_offset_);
+  job.accepted_at = now;
+  if (time_of_day_offset_) job.accepted_at = std::min(now, job.timestamp_s - *time_of_day_offset_);
   job.chunk_size = std::max(1u, row.row.chunk_size);
   resolve_names(job);
   add_start_objectives(job);
@@ -128,16 +128,16 @@
   const double boot_s = catalog_.shortest_boot_s();
   for (const Objective& objective : settings_.objectives) {
     if (!objective.start || objective.job_class != job.spec.job_class) continue;
-    job.start_within.push_back(objective.within_s);
+    job.start_objectives_s.push_back(objective.within_s);
     // If the objective is shorter than the boot time, a machine rented for the job would boot too
     // late, so that the job needs a prompt start on capacity that is there already. For a longer
     // objective, the order of jobs in the queue is sufficient.
-    job.has_start_promise = job.has_start_promise || objective.within_s < boot_s;
+    job.needs_prompt_start = job.needs_prompt_start || objective.within_s < boot_s;
   }
-  std::sort(job.start_within.begin(), job.start_within.end());
+  std::sort(job.start_objectives_s.begin(), job.start_objectives_s.end());
   // A replica of a service is to start immediately, both the first time and after each loss.
-  job.has_start_promise = job.has_start_promise || job.is_service();
-  if (job.has_start_promise) catalog_.prompt_start_images.insert(job.image);
+  job.needs_prompt_start = job.needs_prompt_start || job.is_service();
+  if (job.needs_prompt_start) catalog_.prompt_start_images.insert(job.image);
 }
 
 // `version` is the version of the job's row. A chunk without a page was never written, so that all
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -18,7 +18,7 @@
     : settings_(std::move(settings)),
       catalog_(settings_, std::move(types)),
       claim_(fencing_token),
-      rented_list_(settings_.lasting_value_bytes()),
+      rented_list_(settings_.min_value_bytes()),
       machines_(rented_list_),
       team_usage_(settings_, catalog_),
       pages_(settings_),
@@ -65,7 +65,7 @@
 }
 
 size_t Scheduler::backlog() const {
-  size_t n = unsent();
+  size_t n = pending_writes();
   for (const auto& job : jobs_)
     if (job) n += std::min<size_t>(job->waiting.size(), 64);
   return n;
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -103,7 +103,9 @@
   void round(double now);
   // Terminates machines that hold tasks of cancelled jobs and are unreachable or have not stopped
   // these tasks in time. Starts no tasks, so that an unconfirmed leader may call it.
-  void release_cancelled_work(double now) { monitor_.release_cancelled_work(now); }
+  void terminate_machines_with_cancelled_tasks(double now) {
+    monitor_.terminate_machines_with_cancelled_tasks(now);
+  }
   // Allows or forbids start commands. They are forbidden while this leader's knowledge of
   // cancellations might be out of date.
   void allow_starts(bool allowed) { start_permission_.allow_starts(allowed); }
@@ -115,7 +117,7 @@
     return ledger_writer_.next_transaction(now, max_changes);
   }
   // The number of completed jobs and dirty pages to be written and of transactions in flight.
-  size_t unsent() const { return ledger_writer_.pending_writes(); }
+  size_t pending_writes() const { return ledger_writer_.pending_writes(); }
   void on_result(uint64_t id, const ledger::Result& result, double now);
 
   std::optional<RentalRequest> next_rental_request(double now) {
@@ -130,8 +132,8 @@
   std::vector<std::string> next_return(double now, bool cancelled_only = false) {
     return cloud_requests_.next_return(now, cancelled_only);
   }
-  void on_return(const std::vector<std::string>& names, CloudOutcome outcome, double now) {
-    cloud_requests_.on_return(names, outcome, now);
+  void on_return_result(const std::vector<std::string>& names, CloudOutcome outcome, double now) {
+    cloud_requests_.on_return_result(names, outcome, now);
   }
   // Applies the cloud's machine list, which was requested at `requested_at`.
   void on_machine_list(const std::vector<ListedMachine>& list, double requested_at, double now) {
@@ -151,8 +153,8 @@
   // its network.
   bool receives_no_heartbeats(double now) const { return monitor_.receives_no_heartbeats(now); }
 
-  // Waiting tasks, at most 64 per job, plus unsent(). The number of tasks that a round may start
-  // grows with it.
+  // Waiting tasks, at most 64 per job, plus pending_writes(). The number of tasks that a round may
+  // start grows with it.
   size_t backlog() const;
   struct Summary {
     // `jobs` counts jobs, `waiting` tasks without an attempt, `live` attempts. The others count
--- a/src/scheduler/task_lifecycle.cpp
+++ b/src/scheduler/task_lifecycle.cpp
@@ -21,7 +21,7 @@
 
 WriteUrgency start_urgency(const Job& job) {
   if (job.is_service()) return WriteUrgency::replica;
-  return job.has_start_promise ? WriteUrgency::start_objective : WriteUrgency::start;
+  return job.needs_prompt_start ? WriteUrgency::prompt_start : WriteUrgency::start;
 }
 
 }  // namespace
@@ -66,7 +66,7 @@
   attempt.machine = machine.index;
   attempt.epoch = machine.epoch;
   attempt.since = now;
-  attempt.shielded = preemption_exempt;
+  attempt.preemption_exempt = preemption_exempt;
   allocate_resources(job, attempt);
   job.waiting.erase(task);
   ++job.proposed;
@@ -134,11 +134,11 @@
 
 void TaskLifecycle::stop(Job& job, Attempt& attempt, double grace_s) {
   if (attempt.state == AttemptState::ended) return;
-  if (attempt.stop && grace_s >= attempt.grace_s) return;
-  if (!attempt.stop)
+  if (attempt.stop_requested && grace_s >= attempt.grace_s) return;
+  if (!attempt.stop_requested)
     spdlog::debug("task {}/{} attempt {}: stop requested, {} s for a checkpoint", job.spec.id,
                   attempt.task, attempt.number, grace_s);
-  attempt.stop = true;
+  attempt.stop_requested = true;
   attempt.grace_s = grace_s;
   commands_.add(attempt.machine);
 }
@@ -170,7 +170,7 @@
   WriteUrgency urgency = cause != ExitCause::done ? WriteUrgency::restart : WriteUrgency::none;
   if (job.is_service()) {
     urgency = WriteUrgency::replica;
-    job.missing_since = now;
+    job.replica_missing_since = now;
   }
   pages_.mark_changed(job, task, urgency, now);
   apply_exit_cause(job, attempt, now);
@@ -180,7 +180,7 @@
   bool any = false;
   for (const auto& [task, attempt] : job.attempts) {
     if (attempt.state == AttemptState::ended) continue;
-    if (attempt.stop || attempt.state > AttemptState::gang_waiting) return false;
+    if (attempt.stop_requested || attempt.state > AttemptState::gang_waiting) return false;
     any = true;
   }
   return any;
@@ -211,7 +211,7 @@
   ++job.errors;
   const double wait =
       std::min(kMaxBackOffS, kBackOffBaseS * std::exp2(std::min(job.errors, kMaxBackOffDoublings)));
-  job.not_before = std::max(job.not_before, now + wait);
+  job.back_off_until = std::max(job.back_off_until, now + wait);
 }
 
 void TaskLifecycle::apply_exit_cause(Job& job, const Attempt& attempt, double now) {
@@ -228,7 +228,7 @@
   if (attempt.cause == ExitCause::unknown_task ||
       attempt.cause == ExitCause::insufficient_resources ||
       attempt.cause == ExitCause::already_present)
-    job.not_before = std::max(job.not_before, now + kRefusedStartBackOffS);
+    job.back_off_until = std::max(job.back_off_until, now + kRefusedStartBackOffS);
 }
 
 void TaskLifecycle::release(Job& job, uint32_t task) {
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -106,16 +106,16 @@
   ledger::Result result;
   if (answer.status == http_status::kOk) {
     const auto revision = wire::parse_revision(answer.body);
-    result.outcome = revision ? Outcome::applied : Outcome::unknown;
+    result.outcome = revision ? Outcome::applied : Outcome::indeterminate;
     result.revision = revision.value_or(0);
   } else if (answer.status == http_status::kConflict) {
     result.outcome = Outcome::conflict;
-    result.failed = wire::parse_failed_keys(answer.body);
+    result.failed_keys = wire::parse_failed_keys(answer.body);
   } else if (answer.status == http_status::kBadRequest) {
     result.outcome = Outcome::rejected;
     spdlog::warn("state: a transaction is too large or malformed, or its lease is over");
   } else if (answer.status != http_status::kNone || !answer.may_have_executed) {
-    result.outcome = Outcome::refused;  // 503, 429, or nothing was sent
+    result.outcome = Outcome::not_executed;  // 503, 429, or nothing was sent
   }
   return result;
 }
@@ -127,7 +127,7 @@
            max_wait_s));
 }
 
-ledger::Result Client::commit_repeated(const ledger::Transaction& transaction, double max_wait_s) {
+ledger::Result Client::commit_resent(const ledger::Transaction& transaction, double max_wait_s) {
   ledger::Result result = commit(transaction, max_wait_s);
   if (result.outcome != Outcome::conflict) return result;
   const auto written = std::find_if(transaction.changes.begin(), transaction.changes.end(),
@@ -135,7 +135,7 @@
   if (written == transaction.changes.end()) return result;
   const Read read = get(written->key, max_wait_s);
   if (!read.ok) {
-    result.outcome = Outcome::unknown;
+    result.outcome = Outcome::indeterminate;
   } else if (read.row && ledger::is_written_by(read.row->value, transaction.transaction_id)) {
     result.outcome = Outcome::applied;
     result.revision = read.row->version;
@@ -191,9 +191,9 @@
 Client::Renewal Client::renew(uint64_t lease) {
   const Answer answer =
       call_without_waiting({Method::post, wire::renewal_path(lease), json::object(), 0});
-  if (answer.status == http_status::kOk) return Renewal::kept;
+  if (answer.status == http_status::kOk) return Renewal::renewed;
   if (answer.status == http_status::kNotFound) return Renewal::ended;
-  return Renewal::unknown;
+  return Renewal::indeterminate;
 }
 
 void Client::drop(uint64_t lease) {
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -28,7 +28,7 @@
   // As commit(), for a transaction of which an earlier copy may have been executed. A conflict may
   // come from that copy: then the first row that it writes carries the transaction's id, and the
   // outcome is `applied`.
-  ledger::Result commit_repeated(const ledger::Transaction& transaction, double max_wait_s);
+  ledger::Result commit_resent(const ledger::Transaction& transaction, double max_wait_s);
 
   // One key.
   struct Read {
@@ -55,9 +55,9 @@
   // Leases. These calls go before any others that wait for the rate limits, except drop().
   std::optional<uint64_t> grant(double ttl_s);  // empty: it failed
   enum class Renewal {
-    kept,
-    ended,   // the lease is over
-    unknown  // it may be renewed or not
+    renewed,
+    ended,         // the lease is over
+    indeterminate  // it may be renewed or not
   };
   Renewal renew(uint64_t lease);
   // Ends a lease early, if the state service can be reached.
--- a/src/state/rate_limiters.cpp
+++ b/src/state/rate_limiters.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-// Siblings report every second that they see the limit lowered; a report counts for so long.
-constexpr double kSiblingReportValidS = 3;
+// Peer controllers report every second that they see the limit lowered; a report counts for so
+// long.
+constexpr double kPeerReportValidS = 3;
 
 }  // namespace
 
@@ -21,9 +22,9 @@
   update_locked(steady_now());
 }
 
-void RateLimiters::on_sibling_refused() {
+void RateLimiters::on_peer_refused() {
   std::lock_guard lock(mutex_);
-  sibling_refused_at_ = steady_now();
+  peer_refused_at_ = steady_now();
   update_locked(steady_now());
 }
 
@@ -38,8 +39,8 @@
 }
 
 double RateLimiters::update_locked(double now) {
-  const bool sibling_sees_it = now - sibling_refused_at_ < kSiblingReportValidS;
-  const bool lowered = write_limit_.is_lowered(now) || sibling_sees_it;
+  const bool peer_sees_it = now - peer_refused_at_ < kPeerReportValidS;
+  const bool lowered = write_limit_.is_lowered(now) || peer_sees_it;
   const double write_rps = lowered ? std::min(write_rps_, next_write_rps_) : write_rps_;
   if (write_rps != current_write_rps_) {
     writes.set_total(write_rps);
--- a/src/state/rate_limiters.h
+++ b/src/state/rate_limiters.h
@@ -1,7 +1,7 @@
 #pragma once
 // What all clients of a replica may ask of the state service: its share of requests and of changes
 // a second. The limit of changes may be lowered by the state service at a moment that it does not
-// announce; refusals, here and at siblings, show it.
+// announce; refusals, here and at peer controllers, show it.
 
 #include <mutex>
 #include <optional>
@@ -24,8 +24,8 @@
 
   // The state service refused a change for its rate.
   void on_write_refused();
-  // A sibling reports that the same has just happened to it.
-  void on_sibling_refused();
+  // A peer controller reports that the same has just happened to it.
+  void on_peer_refused();
   // Whether this replica's own refusals show that the limit of changes is lowered.
   bool sees_lowered_write_rate();
   // Applies what is known of the limit of changes by now, and returns it. To be called about every
@@ -42,7 +42,7 @@
   const double next_write_rps_;
   std::mutex mutex_;  // guards what follows
   net::RateLimit write_limit_;
-  double sibling_refused_at_ = -1e9;  // seconds of steady_now()
+  double peer_refused_at_ = -1e9;  // seconds of steady_now()
   double current_write_rps_ = write_rps_;
 };
 
--- a/src/wire/state_messages.cpp
+++ b/src/wire/state_messages.cpp
@@ -39,7 +39,7 @@
     read_value(message, row);
   } else if (deleted && deleted->is_string()) {
     row.key = deleted->get<std::string>();
-    row.erased = true;
+    row.deleted = true;
   } else {
     return std::nullopt;
   }
--- a/src/wire/state_messages.h
+++ b/src/wire/state_messages.h
@@ -20,7 +20,7 @@
   std::string key;
   json value;
   uint64_t version = 0;  // revision of the last change
-  bool erased = false;   // the event reports a deletion; always false in reads
+  bool deleted = false;  // the event reports a deletion; always false in reads
 };
 
 // The rows or events of a response, in its order.
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -74,7 +74,7 @@
   if (status.phase == TaskPhase::exited) {
     status.cause = enum_from_name(kExitCauses, text_or(message, field::task::kExitCause))
                        .value_or(ExitCause::error);
-    status.saved = flag_or(message, field::task::kCheckpointSaved);
+    status.checkpoint_saved = flag_or(message, field::task::kCheckpointSaved);
   }
   return status;
 }
@@ -107,10 +107,10 @@
 }
 
 json encode_command(const WorkerCommand& command) {
-  json message = {{field::command::kKind, enum_to_name(kCommandKinds, command.verb)},
+  json message = {{field::command::kKind, enum_to_name(kCommandKinds, command.kind)},
                   {field::command::kTask, format_task_name(command)},
                   {field::command::kAttempt, command.attempt}};
-  if (command.verb == CommandKind::stop) message[field::command::kGracePeriodS] = command.grace_s;
+  if (command.kind == CommandKind::stop) message[field::command::kGracePeriodS] = command.grace_s;
   return message;
 }
 
--- a/src/workers/command_acknowledgement.cpp
+++ b/src/workers/command_acknowledgement.cpp
@@ -19,7 +19,7 @@
 // Whether the heartbeat shows the worker in the state that the command leads to.
 bool acknowledges(const Heartbeat& heartbeat, const WorkerCommand& command) {
   const TaskStatus* status = find_status(heartbeat, command.attempt_ref());
-  switch (command.verb) {
+  switch (command.kind) {
     case CommandKind::start:
       return status != nullptr;
     case CommandKind::forget:
--- a/src/workers/command_acknowledgement.h
+++ b/src/workers/command_acknowledgement.h
@@ -4,7 +4,7 @@
 // reply was lost; after several such heartbeats in a row the machine is unreachable, however
 // regularly its heartbeats arrive. A reply without commands shows nothing.
 //
-// Updated by HeartbeatHandler; Machine::unreachable() exposes the result.
+// Updated by HeartbeatHandler; Machine::is_unreachable() exposes the result.
 
 #include <string>
 #include <vector>
--- a/src/workers/direct_commands.cpp
+++ b/src/workers/direct_commands.cpp
@@ -22,7 +22,7 @@
     case AttemptState::fetching:
     case AttemptState::gang_waiting:
     case AttemptState::running:
-      return attempt.stop;
+      return attempt.stop_requested;
     case AttemptState::proposed:
     case AttemptState::placed:
     case AttemptState::checkpointing:
@@ -59,7 +59,7 @@
 }
 
 bool DirectCommands::is_reachable(const Machine& machine, double now) const {
-  if (!machine.registered || machine.unreachable() || machine.addr.empty()) return false;
+  if (!machine.registered || machine.is_unreachable() || machine.addr.empty()) return false;
   if (machine.state != MachineState::ready && machine.state != MachineState::draining) return false;
   return now - machine.last_heartbeat <= kMaxHeartbeatAgeIntervals * settings_.heartbeat_interval_s;
 }
@@ -72,7 +72,7 @@
     Attempt& attempt = job.attempts.at(task);
     if (starts_.may_start(job, attempt) && attempt.epoch == machine.epoch) {
       starts.push_back({CommandKind::start, job.spec.id, task, attempt.number, 0});
-      attempt.direct = true;
+      attempt.direct_start_pending = true;
     } else if (needs_stop(attempt)) {
       stops.push_back({CommandKind::stop, job.spec.id, task, attempt.number, attempt.grace_s});
     }
@@ -107,20 +107,21 @@
 // call with the same start has an indeterminate outcome.
 void DirectCommands::clear_direct_starts(const Machine& machine, const DirectCommand& call) {
   for (const WorkerCommand& command : call.commands) {
-    if (command.verb != CommandKind::start) continue;
-    if (machine.unanswered_starts.count(command.attempt_ref())) continue;
+    if (command.kind != CommandKind::start) continue;
+    if (machine.indeterminate_starts.count(command.attempt_ref())) continue;
     Job* job = jobs_.find(command.job);
     if (!job) continue;
     const auto attempt = job->attempts.find(command.task);
     if (attempt != job->attempts.end() && attempt->second.number == command.attempt)
-      attempt->second.direct = false;
+      attempt->second.direct_start_pending = false;
   }
 }
 
 void DirectCommands::record_indeterminate(Machine& machine, const DirectCommand& call, double now) {
   back_off_until_[machine.index] = now + kBackOffAfterFailureS;
   for (const WorkerCommand& command : call.commands)
-    if (command.verb == CommandKind::start) machine.unanswered_starts.insert(command.attempt_ref());
+    if (command.kind == CommandKind::start)
+      machine.indeterminate_starts.insert(command.attempt_ref());
 }
 
 // A response belongs to a call of this controller, so unlike a heartbeat it cannot be a delayed
--- a/src/workers/direct_commands.h
+++ b/src/workers/direct_commands.h
@@ -5,8 +5,8 @@
 // Commands that a call does not deliver are sent with the reply to the machine's next heartbeat.
 //
 // Called by the daemon's threads for direct commands, through the scheduler. Guarantees that a
-// start whose call has an indeterminate outcome stays recorded (Machine::unanswered_starts,
-// Attempt::direct) for as long as a delayed copy of it may be executed.
+// start whose call has an indeterminate outcome stays recorded (Machine::indeterminate_starts,
+// Attempt::direct_start_pending) for as long as a delayed copy of it may be executed.
 
 #include <map>
 #include <optional>
--- a/src/workers/fault_detector.cpp
+++ b/src/workers/fault_detector.cpp
@@ -35,7 +35,7 @@
 void FaultDetector::record_faulty_job(Job& job, double now) {
   const double wait = std::min(
       kMaxBackOffS, kFaultyJobBackOffS * std::exp2(std::min(job.errors, kMaxBackOffDoublings)));
-  job.not_before = std::max(job.not_before, now + wait);
+  job.back_off_until = std::max(job.back_off_until, now + wait);
   for (Index i : job.failed_machines) {
     Machine& machine = machines_[i];
     if (machine.failed_jobs.erase(job.id) > 0 && machine.failed_jobs.empty())
@@ -47,7 +47,7 @@
   job.failed_machines.insert(machine.index);
   ++job.errors;
   if (is_faulty(job)) return record_faulty_job(job, now);
-  job.not_before = std::max(job.not_before, now + kErrorBackOffS);
+  job.back_off_until = std::max(job.back_off_until, now + kErrorBackOffS);
   machine.failed_jobs.insert(job.id);
   machine.suspect_until = now + kSuspectDurationS;
   if (machine.failed_jobs.size() >= kFaultyMachineAfterJobs && !machine.cordoned) {
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -60,12 +60,13 @@
 // the token. A worker that adopts the token sends its next heartbeat within half a second.
 void HeartbeatHandler::record_older_token(Machine& machine, const Heartbeat& heartbeat,
                                           double now) const {
-  if (!heartbeat.id().is_later_than(machine.older_token_last)) return;
-  machine.older_token_last = heartbeat.id();
+  if (!heartbeat.id().is_later_than(machine.last_older_token_id)) return;
+  machine.last_older_token_id = heartbeat.id();
   // Heartbeats that a network partition delayed arrive all at once and count as one.
   if (machine.heartbeats_with_older_token == 0 ||
-      now - machine.older_token_at > kOlderTokenSpacingIntervals * settings_.heartbeat_interval_s) {
-    machine.older_token_at = now;
+      now - machine.last_older_token_at >
+          kOlderTokenSpacingIntervals * settings_.heartbeat_interval_s) {
+    machine.last_older_token_at = now;
     if (machine.heartbeats_with_older_token++ == 0) machine.older_token_since = now;
   }
   if (machine.addr.empty()) machine.addr = heartbeat.addr;
@@ -98,7 +99,7 @@
   machine.last_heartbeat = now;
   if (machine.epoch != heartbeat.epoch) {
     // A worker refuses direct commands that name an earlier epoch.
-    machine.unanswered_starts.clear();
+    machine.indeterminate_starts.clear();
     machine.acknowledgement.on_new_epoch();
   }
   machine.epoch = heartbeat.epoch;
--- a/src/workers/start_permission.h
+++ b/src/workers/start_permission.h
@@ -14,7 +14,7 @@
   // Whether the attempt is durable and not to be stopped, its job is not finished and, for a gang,
   // all its attempts are durable.
   bool may_start(const Job& job, const Attempt& attempt) const {
-    if (attempt.state != AttemptState::placed || attempt.stop) return false;
+    if (attempt.state != AttemptState::placed || attempt.stop_requested) return false;
     if (job.is_finished() || !starts_allowed_) return false;
     return !job.is_gang() || job.proposed == 0;
   }
--- a/src/workers/task_reconciler.cpp
+++ b/src/workers/task_reconciler.cpp
@@ -89,7 +89,7 @@
   if (status.phase != TaskPhase::exited) {
     findings.stops.push_back(command(CommandKind::stop, status));
     machine.has_unknown_tasks = true;
-  } else if (!machine.unanswered_starts.count(status.attempt_ref())) {
+  } else if (!machine.indeterminate_starts.count(status.attempt_ref())) {
     findings.forgets.push_back(command(CommandKind::forget, status));
   }
 }
@@ -99,7 +99,7 @@
   findings.listed.insert({job.id, status.task});
   apply_status(machine, job, attempt, status, now);  // may erase the attempt and its job
   const Attempt* current = find_attempt(machine, status);
-  if (!current || current->state == AttemptState::ended || !current->stop) return;
+  if (!current || current->state == AttemptState::ended || !current->stop_requested) return;
   if (current->state == AttemptState::checkpointing && current->grace_s > 0) return;
   findings.stops.push_back(command(CommandKind::stop, status, current->grace_s));
 }
@@ -140,9 +140,9 @@
 
 // A replica never exits with success, so a long enough run counts as its success.
 void TaskReconciler::record_replica_run(Machine& machine, Job& job, Attempt& attempt, double now) {
-  if (attempt.proven || attempt.state != AttemptState::running) return;
+  if (attempt.known_healthy || attempt.state != AttemptState::running) return;
   if (now - attempt.running_since < kHealthyReplicaAfterS) return;
-  attempt.proven = true;
+  attempt.known_healthy = true;
   FaultDetector::record_success(machine, job);
 }
 
@@ -165,7 +165,7 @@
     lifecycle_.end(job, attempt.task, ExitCause::none, now, "worker no longer lists it");
     return;
   }
-  if (attempt.stop)
+  if (attempt.stop_requested)
     withdraw_placed(machine, job, attempt, findings, now);
   else if (starts_.may_start(job, attempt))
     findings.starts.push_back(command(CommandKind::start, job, attempt));
@@ -174,7 +174,7 @@
 // Handles an attempt that is to stop and that no heartbeat of its machine has listed yet.
 void TaskReconciler::withdraw_placed(const Machine& machine, Job& job, const Attempt& attempt,
                                      Findings& findings, double now) {
-  if (!attempt.direct) {
+  if (!attempt.direct_start_pending) {
     // Its start was either never sent, or sent in the reply to an earlier heartbeat. Since this
     // heartbeat does not list the attempt, the worker has discarded that reply or never received
     // it.
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -141,7 +141,7 @@
   EXPECT_EQ(gang->attempts.size(), 4u);
   const Job* cancelled = scheduler.find_job("wk-000103");
   ASSERT_TRUE(cancelled);
-  EXPECT_TRUE(cancelled->attempts.at(1).stop);
+  EXPECT_TRUE(cancelled->attempts.at(1).stop_requested);
   EXPECT_FALSE(scheduler.find_job("wk-000104")) << "it is done";
   EXPECT_TRUE(ledger_cache.job_progress("wk-000104"));
 }
@@ -161,7 +161,7 @@
   bool written = false;
   for (double now = 1; now < 30; now += 1)
     while (auto p = scheduler.next_transaction(now)) {
-      const auto& change = p->txn.changes.at(0);
+      const auto& change = p->transaction.changes.at(0);
       if (change.key == ledger::page_key(0)) {
         written = true;
         for (const json& entry : change.value.at("e")) EXPECT_EQ(entry.size(), 5u);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -39,7 +39,7 @@
 TEST(Config, TakesThePlatformsFileAndIgnoresWhatItDoesNotKnow) {
   const Config c = parse_config(good().dump());
   EXPECT_EQ(c.scheduler.label, "n0");
-  EXPECT_EQ(c.siblings.at(0).mesh.port, 3);
+  EXPECT_EQ(c.peers.at(0).mesh.port, 3);
   EXPECT_EQ(c.scheduler.value_bytes, 8192u);
   EXPECT_DOUBLE_EQ(c.scheduler.teams.at(0).cpus_max, 2);
 }
@@ -56,8 +56,8 @@
   EXPECT_EQ(c.scheduler.next_limits->value_bytes, 2048u);
   EXPECT_EQ(c.scheduler.next_limits->txn_ops, 5u);
   EXPECT_DOUBLE_EQ(c.scheduler.next_limits->write_rps, 18);
-  EXPECT_EQ(c.scheduler.lasting_value_bytes(), 2048u);
-  EXPECT_EQ(c.scheduler.lasting_txn_ops(), 5u);
+  EXPECT_EQ(c.scheduler.min_value_bytes(), 2048u);
+  EXPECT_EQ(c.scheduler.min_txn_ops(), 5u);
   EXPECT_EQ(c.scheduler.value_bytes, 8192u);
   for (const char* field : {"write_rps", "value_kb", "txn_ops"}) {
     for (const json& wrong : {json(), json("2"), json(0), json(-1)}) {
@@ -175,7 +175,7 @@
   EXPECT_EQ(c.bind.host, "127.0.0.1");
   EXPECT_EQ(c.bind.port, 1);
   EXPECT_EQ(c.mesh.port, 2);
-  EXPECT_EQ(c.siblings.at(0).label, "n1");
+  EXPECT_EQ(c.peers.at(0).label, "n1");
   EXPECT_EQ(c.cloud.port, 4);
   EXPECT_EQ(c.state.port, 5);
   EXPECT_EQ(c.nodes, 2);
@@ -312,10 +312,10 @@
 TEST(Config, SocketsFollowFromTheSettings) {
   Config c;
   c.max_sockets = 2179;
-  c.siblings.resize(6);
+  c.peers.resize(6);
   EXPECT_GE(connections_from_outside(c), 2000u);
-  EXPECT_GE(connections_from_siblings(c), 12u);
-  EXPECT_LT(connections_from_outside(c) + connections_from_siblings(c) + 40, c.max_sockets);
+  EXPECT_GE(connections_from_peers(c), 12u);
+  EXPECT_LT(connections_from_outside(c) + connections_from_peers(c) + 40, c.max_sockets);
   c.max_sockets = 64;
   EXPECT_EQ(connections_from_outside(c), 32u);
 }
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -1,6 +1,6 @@
 // When a controller becomes the leader, and when an unconfirmed leader leaves its workers: real
-// controllers over HTTP, against a state service, a cloud and a sibling written here. Every wait is
-// for a condition, with a deadline far beyond what it takes.
+// controllers over HTTP, against a state service, a cloud and a peer controller written here. Every
+// wait is for a condition, with a deadline far beyond what it takes.
 
 #include <gtest/gtest.h>
 
@@ -27,7 +27,7 @@
   return nullptr;
 }
 
-// One controller without siblings.
+// One controller without peer controllers.
 class Election : public testing::Test {
  protected:
   std::unique_ptr<Controller> started() {
@@ -105,10 +105,10 @@
   state.decide({});
 }
 
-// A sibling that answers, or does not.
-class SiblingStandIn {
+// A peer controller that answers, or does not.
+class PeerStandIn {
  public:
-  SiblingStandIn()
+  PeerStandIn()
       : server_({"127.0.0.1", 0}, 8, 8, 1 << 20,
                 [this](const httplib::Request&, httplib::Response& r) {
                   if (!answers) {
@@ -122,7 +122,7 @@
                 }) {
     EXPECT_TRUE(server_.start());
   }
-  ~SiblingStandIn() { server_.halt(); }
+  ~PeerStandIn() { server_.halt(); }
   int port() const { return server_.port(); }
   std::atomic<bool> answers = true;
 
@@ -130,17 +130,17 @@
   net::Server server_;
 };
 
-// A leader that hears neither the state service nor a sibling is likelier partitioned than in an
-// outage. Answered 200 all the same, its workers would stay with it, out of reach of the leader
-// that the others elect, for as long as it is unconfirmed.
+// A leader that hears neither the state service nor a peer controller is likelier partitioned than
+// in an outage. Answered 200 all the same, its workers would stay with it, out of reach of the
+// leader that the others elect, for as long as it is unconfirmed.
 TEST(UnconfirmedLeader, ALeaderThatHearsNobodyLeavesItsWorkers) {
   StateService state;
   CloudAndWorkers cloud;
-  SiblingStandIn sibling;
+  PeerStandIn peer;
   Config c = config("n-a", state.port(), cloud.port());
   c.scheduler.lease_s = 20;
   c.scheduler.cancel_s = 600;  // what may have been cancelled unheard is no reason here
-  c.siblings = {{"n-b", {"127.0.0.1", sibling.port()}}};
+  c.peers = {{"n-b", {"127.0.0.1", peer.port()}}};
   Controller controller(c);
   ASSERT_TRUE(controller.start());
   cloud.use({{"n-a", controller.port()}});
@@ -169,18 +169,18 @@
   ASSERT_TRUE(until([&] { return report().first == 200; }));
   state.set_outage(true);
   ASSERT_TRUE(until([&] { return controller.role() == Role::unconfirmed; }));
-  // An outage that a sibling lives through with it: its workers keep their work, also when the
-  // state service has been away for longer than a lone leader waits.
+  // An outage that a peer controller lives through with it: its workers keep their work, also when
+  // the state service has been away for longer than a lone leader waits.
   const auto longer = std::chrono::steady_clock::now() + std::chrono::seconds(7);
   EXPECT_TRUE(until([&] {
     const auto [status, why] = report();
     EXPECT_NE(why, "cut off");
     return status == 200 && std::chrono::steady_clock::now() > longer;
   }));
-  sibling.answers = false;
+  peer.answers = false;
   EXPECT_TRUE(until([&] { return report() == std::make_pair(503, std::string("cut off")); }));
   EXPECT_EQ(controller.role(), Role::unconfirmed);
-  sibling.answers = true;  // heard again: an outage that both are in
+  peer.answers = true;  // heard again: an outage that both are in
   EXPECT_TRUE(until([&] { return report().first == 200; }));
 }
 
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -159,7 +159,7 @@
     else if (res.outcome == ledger::Outcome::rejected)
       put(r, 400, {{"error", "too large"}});
     else
-      put(r, 409, {{"failed", res.failed}, {"ledger", store_.revision}});
+      put(r, 409, {{"failed", res.failed_keys}, {"ledger", store_.revision}});
   }
 
   void serve_watch(const httplib::Request& q, httplib::Response& r) {
@@ -168,7 +168,7 @@
     const auto changes = store_.since(std::stoull(parameter(q, "after")));
     longest_ = std::max(longest_, changes.size());
     for (const auto& e : changes) {
-      if (e.erased)
+      if (e.deleted)
         log.push_back({{"delete", e.key}, {"stamp", e.version}});
       else
         log.push_back({{"write", e.key}, {"v", e.value}, {"stamp", e.version}});
@@ -433,19 +433,19 @@
   return ntohs(at.sin_port);
 }
 
-// Two nodes that know each other as siblings, or do not.
+// Two nodes that know each other as peer controllers, or do not.
 class Pair : public testing::Test {
  protected:
-  explicit Pair(bool siblings) {
+  explicit Pair(bool peers) {
     // A port that was free may be taken by now: then others are tried.
     for (int i = 0; i < 20 && (!a_ || !b_); ++i) {
       Config first = config("n-a", state.port(), cloud.port());
       Config second = config("n-b", state.port(), cloud.port());
-      if (siblings) {
+      if (peers) {
         first.mesh.port = free_port();
         second.mesh.port = free_port();
-        first.siblings = {{"n-b", second.mesh}};
-        second.siblings = {{"n-a", first.mesh}};
+        first.peers = {{"n-b", second.mesh}};
+        second.peers = {{"n-a", first.mesh}};
       }
       a_ = started(first);
       b_ = a_ ? started(second) : nullptr;
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -361,7 +361,7 @@
   net::Server server({"127.0.0.1", 0}, 10, 2, 65536,
                      [](const httplib::Request& q, httplib::Response& r) {
                        r.status = q.target == "/close" ? 503 : 200;
-                       if (q.target == "/close") net::Server::close_after_answer();
+                       if (q.target == "/close") net::Server::close_after_response();
                      });
   ASSERT_TRUE(server.start());
   const int fd = raw_connection(server.port());
@@ -414,7 +414,7 @@
     EXPECT_EQ(client.rent(request, {}).outcome, CloudOutcome::refused);
     status = 200;
     answer = {{"crofts", "m-1"}};
-    EXPECT_EQ(client.rent(request, {}).outcome, CloudOutcome::unknown);
+    EXPECT_EQ(client.rent(request, {}).outcome, CloudOutcome::indeterminate);
     answer = {{"crofts", {"m-1", "", 3, std::string(300, 'x')}}};
     EXPECT_EQ(client.rent(request, {}).machines, std::vector<std::string>{"m-1"});
     // A list that says it goes on, and never does, is no list.
@@ -440,7 +440,7 @@
     ledger::Transaction t;
     t.changes = {{"a", false, json(1), 0}};
     t.transaction_id = "m";
-    EXPECT_EQ(client.commit_repeated(t, 1).outcome, ledger::Outcome::conflict);
+    EXPECT_EQ(client.commit_resent(t, 1).outcome, ledger::Outcome::conflict);
     EXPECT_FALSE(client.grant(1));
     EXPECT_TRUE(client.range("", "", 1));
     EXPECT_FALSE(client.range("", "a", 1));  // it does not go on: reading would never end
--- a/tests/rented_list_test.cpp
+++ b/tests/rented_list_test.cpp
@@ -93,7 +93,7 @@
 
 TEST_F(RentedListTest, WhatWasNotWrittenIsWrittenAgain) {
   add("m-1", 0, 0, false);
-  settle(write(1), ledger::Outcome::refused);
+  settle(write(1), ledger::Outcome::not_executed);
   EXPECT_TRUE(list.can_write(5));
   const ledger::Transaction again = write(5);
   ASSERT_EQ(again.changes.size(), 1u);
--- a/tests/scheduler/cancellations_test.cpp
+++ b/tests/scheduler/cancellations_test.cpp
@@ -29,7 +29,7 @@
     scheduler.set_time_of_day_offset(kDayOffset);
     scheduler.load(
         ledger_with_a_task_on_m1(ledger::JobStatus::cancelled, kDayOffset + cancelled_at), kNow);
-    scheduler.release_cancelled_work(when);
+    scheduler.terminate_machines_with_cancelled_tasks(when);
     return scheduler.next_return(when, true);
   };
   const std::vector<std::string> m1 = {"m-1"}, none;
@@ -61,7 +61,7 @@
   scheduler.allow_starts(true);
   const auto commands = scheduler.on_heartbeat(bare_heartbeat(1, 2, 7), 2).commands;
   ASSERT_EQ(commands.size(), 1u);
-  EXPECT_EQ(commands[0].verb, CommandKind::start);
+  EXPECT_EQ(commands[0].kind, CommandKind::start);
 }
 
 // A user hears of a cancellation only once a leader is known to know it.
@@ -81,7 +81,7 @@
   EXPECT_TRUE(known.contains("wk-000002", 20));
 }
 
-TEST(CancellationStaleness, AllSiblingsTogetherProveAsTheLedgerDoes) {
+TEST(CancellationStaleness, AllPeersTogetherProveAsTheLedgerDoes) {
   CancellationStaleness h({"n1", "n2"});
   constexpr uint64_t kOurs = 7;
   const auto answer = [&](const char* who, const char* process, uint64_t fencing_token,
@@ -101,7 +101,7 @@
   EXPECT_EQ(h.known_until(), 20);  // one knows of a newer leader
 }
 
-TEST(CancellationStaleness, ARestartedSiblingProvesNothingOfItsPredecessor) {
+TEST(CancellationStaleness, ARestartedPeerProvesNothingOfItsPredecessor) {
   CancellationStaleness h({"n1", "n2"});
   constexpr uint64_t kOurs = 7;
   h.on_peer_response("n1", "a", 7, kOurs, 8, 8.1);
--- a/tests/scheduler/failover_test.cpp
+++ b/tests/scheduler/failover_test.cpp
@@ -52,14 +52,14 @@
     if (step % 20 == 0) {
       ++r.seq;
       for (const WorkerCommand& o : scheduler.on_heartbeat(r, now).commands)
-        if (o.verb == CommandKind::start)
+        if (o.kind == CommandKind::start)
           r.tasks.push_back({o.job, o.task, o.attempt, TaskPhase::running, ExitCause::none, false});
     }
     scheduler.round(now);
     // One transaction a step is less than there is to write.
     const auto p = scheduler.next_transaction(now);
     if (!p) continue;
-    const std::string& key = p->txn.changes.at(0).key;
+    const std::string& key = p->transaction.changes.at(0).key;
     pages += key.rfind(ledger::kPagePrefix, 0) == 0;
     lists += key.rfind(ledger::kRentedListPrefix, 0) == 0;
     scheduler.on_result(p->id, {ledger::Outcome::applied, ++revision, {}}, now);
--- a/tests/scheduler/fleet_test.cpp
+++ b/tests/scheduler/fleet_test.cpp
@@ -28,7 +28,7 @@
     }
     const auto names = scheduler.next_return(now);
     returned.insert(names.begin(), names.end());
-    if (!names.empty()) scheduler.on_return(names, CloudOutcome::done, now);
+    if (!names.empty()) scheduler.on_return_result(names, CloudOutcome::done, now);
     // All others come up after the time that the cloud publishes.
     if (now == 60) at_first = rented;
     if (now == 60 || now == 180)
--- a/tests/scheduler/heartbeats_test.cpp
+++ b/tests/scheduler/heartbeats_test.cpp
@@ -133,11 +133,11 @@
   Scheduler scheduler(bare_settings(), {bare_type()}, 7, 0);
   scheduler.load(ledger_with_a_task_on_m1(ledger::JobStatus::open, 1), 0);
   for (uint64_t seq = 1; seq <= 3; ++seq) {
-    EXPECT_FALSE(scheduler.machines().at(0)->unreachable());
+    EXPECT_FALSE(scheduler.machines().at(0)->is_unreachable());
     scheduler.on_heartbeat(bare_heartbeat(1, seq, 7), static_cast<double>(seq));
   }
-  EXPECT_TRUE(scheduler.machines().at(0)->unreachable());
-  scheduler.release_cancelled_work(4);
+  EXPECT_TRUE(scheduler.machines().at(0)->is_unreachable());
+  scheduler.terminate_machines_with_cancelled_tasks(4);
   EXPECT_EQ(state_of(scheduler, 1), MachineState::ready);  // nothing cancelled is on it
   scheduler.round(4);
   scheduler.round(13);
--- a/tests/scheduler/ledger_pages_test.cpp
+++ b/tests/scheduler/ledger_pages_test.cpp
@@ -147,11 +147,11 @@
   Scheduler scheduler = leader_of(m);
   bool written = false;
   while (const auto p = scheduler.next_transaction(1)) {
-    const std::string key = p->txn.changes.at(0).key;
+    const std::string key = p->transaction.changes.at(0).key;
     EXPECT_NE(key, "rd/t/0");
     if (key.rfind(ledger::kPagePrefix, 0) != 0) continue;
     written = true;
-    for (const auto& entry : p->txn.changes.at(0).value.at("e"))
+    for (const auto& entry : p->transaction.changes.at(0).value.at("e"))
       EXPECT_EQ(entry.at(0), "wk-000002") << "the other job's tasks may run already";
   }
   EXPECT_TRUE(written);
@@ -170,9 +170,9 @@
   Scheduler scheduler = leader_of(m);
   bool written = false;
   while (const auto p = scheduler.next_transaction(1)) {
-    if (p->txn.changes.at(0).key != "rd/t/0") continue;
+    if (p->transaction.changes.at(0).key != "rd/t/0") continue;
     written = true;
-    EXPECT_EQ(p->txn.changes.at(0).value.at("e").at(0), of_unreadable);
+    EXPECT_EQ(p->transaction.changes.at(0).value.at("e").at(0), of_unreadable);
   }
   EXPECT_TRUE(written);
 }
--- a/tests/scheduler/ledger_rows_test.cpp
+++ b/tests/scheduler/ledger_rows_test.cpp
@@ -28,7 +28,7 @@
 }
 
 TEST(Ledger, SizesAreNotUnderestimated) {
-  ledger::Page page;
+  ledger::PageRow page;
   page.transaction_id = "18446744073709551615.18446744073709551615";
   size_t size = 0;
   for (const std::string id : {"wk-000001", "wk-123456789012345678"}) {
--- a/tests/scheduler/lowered_limits_test.cpp
+++ b/tests/scheduler/lowered_limits_test.cpp
@@ -42,14 +42,14 @@
     next.value_bytes = 2048;
     next.txn_ops = 4;
     settings.next_limits = next;
-    ledger::Page page;
+    ledger::PageRow page;
     add_job(kSmall, kSmallTasks, page);
     add_job(kArray, kTasks, page);
     rows[ledger::page_key(0)] = {ledger::encode(page), 4};
     scheduler = leader();
   }
 
-  void add_job(const std::string& id, uint32_t tasks, ledger::Page& page) {
+  void add_job(const std::string& id, uint32_t tasks, ledger::PageRow& page) {
     ledger::JobRow row;
     row.tasks = tasks;
     row.chunk_size = kPer;
@@ -118,7 +118,7 @@
   // The next write of a page; what else is to be written is written.
   std::optional<PendingTransaction> page_write(double now) {
     while (auto p = scheduler->next_transaction(now)) {
-      if (p->txn.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
+      if (p->transaction.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
       scheduler->on_result(p->id, {Outcome::applied, ++revision, {}}, now);
     }
     return std::nullopt;
@@ -126,9 +126,9 @@
 
   // Answers as the state service does since it lowered its limits.
   void answer(const PendingTransaction& p, double now) {
-    ASSERT_LE(p.txn.changes.size(), settings.next_limits->txn_ops);
+    ASSERT_LE(p.transaction.changes.size(), settings.next_limits->txn_ops);
     bool large = false;
-    for (const auto& c : p.txn.changes)
+    for (const auto& c : p.transaction.changes)
       large = large || ledger::value_size(c.value) > settings.next_limits->value_bytes;
     if (large) {
       ++rejected;
@@ -136,7 +136,7 @@
       return;
     }
     ++revision;
-    for (const auto& c : p.txn.changes) {
+    for (const auto& c : p.transaction.changes) {
       written.push_back(c.key);
       rows[c.key] = {c.value, revision};
       if (c.key.rfind(ledger::kPagePrefix, 0) != 0) continue;
@@ -192,22 +192,22 @@
     while (auto p = scheduler->next_transaction(now)) under_way.push_back(*p);
   ASSERT_GE(under_way.size(), 3u);
   for (const auto& p : under_way) {
-    EXPECT_NE(p.txn.changes.at(0).key, ledger::page_key(0));
+    EXPECT_NE(p.transaction.changes.at(0).key, ledger::page_key(0));
     if (&p != &under_way.back()) answer(p, 5);
   }
   EXPECT_FALSE(page_write(6)) << "one of them is still under way";
   answer(under_way.back(), 6);
   const auto p = page_write(7);
   ASSERT_TRUE(p);
-  EXPECT_EQ(p->txn.changes.at(0).key, ledger::page_key(0));
+  EXPECT_EQ(p->transaction.changes.at(0).key, ledger::page_key(0));
 }
 
 TEST_F(LoweredLimits, BeforeThatNothingIsMoved) {
   end_task({kArray, 3}, ExitCause::error, 1);
   const auto p = page_write(10);
   ASSERT_TRUE(p);
-  EXPECT_EQ(p->txn.changes.at(0).key, ledger::page_key(0));
-  EXPECT_GT(ledger::value_size(p->txn.changes.at(0).value), 2048u);
+  EXPECT_EQ(p->transaction.changes.at(0).key, ledger::page_key(0));
+  EXPECT_GT(ledger::value_size(p->transaction.changes.at(0).value), 2048u);
   scheduler->on_result(p->id, {Outcome::applied, 101, {}}, 10);
   EXPECT_FALSE(scheduler->uses_lowered_limits());
 }
@@ -217,11 +217,11 @@
   end_task({kArray, 3}, ExitCause::error, 1);
   const auto first = page_write(10);
   ASSERT_TRUE(first);
-  scheduler->on_result(first->id, {Outcome::unknown, 0, {}}, 10);
+  scheduler->on_result(first->id, {Outcome::indeterminate, 0, {}}, 10);
   const auto again = page_write(11);
   ASSERT_TRUE(again);
   EXPECT_EQ(again->id, first->id);
-  EXPECT_TRUE(again->repeat);
+  EXPECT_TRUE(again->resend);
   scheduler->on_result(again->id, {Outcome::rejected, 0, {}}, 11);
   EXPECT_TRUE(scheduler->has_lost_leadership());
   EXPECT_TRUE(scheduler->uses_lowered_limits()) << "its siblings are to know it";
@@ -240,7 +240,7 @@
 }
 
 TEST_F(LoweredLimits, NewJobsAreLaidOutForTheLoweredSizesFromTheStart) {
-  const uint32_t per = ledger::tasks_per_chunk(settings.lasting_value_bytes());
+  const uint32_t per = ledger::tasks_per_chunk(settings.min_value_bytes());
   EXPECT_LT(per, kPer);
   CachedJob job = bare_job(200, {0.05, 0.01, 0.1}, 50);
   job.row.chunk_size = per;
@@ -249,7 +249,7 @@
   for (int round = 0; round < 5; ++round) {
     scheduler->round(1);
     while (auto p = scheduler->next_transaction(1)) {
-      const auto& change = p->txn.changes.at(0);
+      const auto& change = p->transaction.changes.at(0);
       const bool is_page = change.key.rfind(ledger::kPagePrefix, 0) == 0;
       EXPECT_TRUE(!is_page || change.key == ledger::page_key(0) ||
                   ledger::value_size(change.value) <= 2048);
@@ -263,7 +263,7 @@
 // unwritten until enough had ended, for minutes (replay of rollout, docs/rounds.md, round 31).
 TEST_F(LoweredLimits, StartsThatDoNotFitTheirPageAreMadeRoomFor) {
   rows.clear();
-  ledger::Page page;
+  ledger::PageRow page;
   add_job(kArray, kPer, page);
   constexpr uint32_t kRunning = 85;
   page.entries.at(0).chunk.live.resize(kRunning);
--- a/tests/scheduler/scheduler_guards_fixture.h
+++ b/tests/scheduler/scheduler_guards_fixture.h
@@ -42,7 +42,7 @@
   // The next write of a page; what else is to be written is written.
   std::optional<PendingTransaction> page_write(double now) {
     while (auto p = scheduler.next_transaction(now)) {
-      if (p->txn.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
+      if (p->transaction.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
       apply(*p, now);
     }
     return std::nullopt;
@@ -58,7 +58,7 @@
   // The starts that a write makes durable.
   static std::vector<ledger::LiveAttempt> live_in(const PendingTransaction& p) {
     std::vector<ledger::LiveAttempt> out;
-    const auto page = ledger::decode_page(p.txn.changes.at(0).value);
+    const auto page = ledger::decode_page(p.transaction.changes.at(0).value);
     EXPECT_TRUE(page);
     if (page)
       for (const auto& e : page->entries)
@@ -68,7 +68,7 @@
   static size_t count_starts(const std::vector<WorkerCommand>& commands) {
     return static_cast<size_t>(
         std::count_if(commands.begin(), commands.end(),
-                      [](const WorkerCommand& o) { return o.verb == CommandKind::start; }));
+                      [](const WorkerCommand& o) { return o.kind == CommandKind::start; }));
   }
   size_t direct_starts(double now) {
     const auto d = scheduler.next_direct_command(now);
--- a/tests/scheduler/services_test.cpp
+++ b/tests/scheduler/services_test.cpp
@@ -187,7 +187,7 @@
   for (int i = 1; i <= 4; ++i) report(i, 20);
   const HeartbeatReply reply = report(machine, 21, {}, 12);
   EXPECT_TRUE(std::any_of(reply.commands.begin(), reply.commands.end(), [](const WorkerCommand& o) {
-    return o.verb == CommandKind::stop && o.job == kService && o.task == 0;
+    return o.kind == CommandKind::stop && o.job == kService && o.task == 0;
   }));
 }
 
@@ -198,11 +198,11 @@
   for (int i = 1; i <= 4; ++i) report(i, 20);
   for (int i = 1; i <= 4; ++i) report(i, 21, {}, 60);
   const auto stopped = std::count_if(service().attempts.begin(), service().attempts.end(),
-                                     [](const auto& a) { return a.second.stop; });
+                                     [](const auto& a) { return a.second.stop_requested; });
   EXPECT_EQ(stopped, 1);
   for (int i = 1; i <= 4; ++i) report(i, 26, {}, 3);
   EXPECT_TRUE(std::all_of(service().attempts.begin(), service().attempts.end(),
-                          [](const auto& a) { return a.second.stop; }));
+                          [](const auto& a) { return a.second.stop_requested; }));
 }
 
 // A lost replica goes before work of equal rank that came long after its service.
--- a/tests/scheduler/small_deployment_fixture.h
+++ b/tests/scheduler/small_deployment_fixture.h
@@ -103,9 +103,9 @@
   }
   void execute(Worker& w, const WorkerCommand& o) {
     const auto key = std::make_tuple(o.job, o.task, o.attempt);
-    if (o.verb == CommandKind::forget) {
+    if (o.kind == CommandKind::forget) {
       w.tasks.erase(key);
-    } else if (o.verb == CommandKind::stop) {
+    } else if (o.kind == CommandKind::stop) {
       auto task = w.tasks.find(key);
       if (task == w.tasks.end() || task->second.report.phase == TaskPhase::exited) return;
       task->second.report.phase = TaskPhase::exited;
--- a/tests/scheduler/starts_test.cpp
+++ b/tests/scheduler/starts_test.cpp
@@ -23,10 +23,10 @@
   scheduler.round(1);
   bool started = false;
   while (const auto p = scheduler.next_transaction(1)) {
-    if (p->txn.changes.at(0).key != "rd/t/0") continue;
+    if (p->transaction.changes.at(0).key != "rd/t/0") continue;
     started = true;
     std::map<std::string, uint64_t> conditions;
-    for (const auto& c : p->txn.conditions) conditions[c.key] = c.version;
+    for (const auto& c : p->transaction.conditions) conditions[c.key] = c.version;
     EXPECT_EQ(conditions, (std::map<std::string, uint64_t>{
                               {"rd/leader", 7}, {"rd/t/0", 4}, {"rd/j/wk-000001", 3}}));
   }
@@ -102,7 +102,7 @@
   apply(*p, 6);
   EXPECT_EQ(direct_starts(6), 0u);
   EXPECT_EQ(count_starts(scheduler.on_heartbeat(heartbeat(1, 5), 7).commands), 0u);
-  EXPECT_TRUE(scheduler.find_job("wk-000003")->attempts.at(0).stop ||
+  EXPECT_TRUE(scheduler.find_job("wk-000003")->attempts.at(0).stop_requested ||
               state_of_task("wk-000003") == AttemptState::ended);
 }
 
--- a/tests/scheduler/transactions_test.cpp
+++ b/tests/scheduler/transactions_test.cpp
@@ -36,8 +36,8 @@
     const auto p = page_write(now);
     ASSERT_TRUE(p);
     EXPECT_EQ(p->id, first->id);
-    EXPECT_TRUE(p->repeat);
-    EXPECT_EQ(text(p->txn), text(first->txn));
+    EXPECT_TRUE(p->resend);
+    EXPECT_EQ(text(p->transaction), text(first->transaction));
   }
   std::optional<PendingTransaction> first;
 };
@@ -47,7 +47,7 @@
 // successor.
 TEST_F(UnansweredTransaction, ItIsRepeatedUnchanged) {
   submit("wk-000002", 1);  // which would go into the same page
-  scheduler.on_result(first->id, {Outcome::unknown, 0, {}}, 1);
+  scheduler.on_result(first->id, {Outcome::indeterminate, 0, {}}, 1);
   scheduler.round(1.1);
   EXPECT_EQ(direct_starts(1.1), 0u);
   expect_copy(1.1, 2);
@@ -58,9 +58,9 @@
 
 // That a copy was refused says nothing of those before it.
 TEST_F(UnansweredTransaction, ARefusedCopyIsRepeatedToo) {
-  scheduler.on_result(first->id, {Outcome::unknown, 0, {}}, 1);
+  scheduler.on_result(first->id, {Outcome::indeterminate, 0, {}}, 1);
   expect_copy(1.1, 2);
-  scheduler.on_result(first->id, {Outcome::refused, 0, {}}, 2);
+  scheduler.on_result(first->id, {Outcome::not_executed, 0, {}}, 2);
   EXPECT_EQ(direct_starts(2.1), 0u);
   expect_copy(2.1, 3);
   apply(*first, 3);
@@ -69,11 +69,11 @@
 
 // One that was never under way otherwise is known not to be executed: it is built anew.
 TEST_F(UnansweredTransaction, OneThatWasRefusedAtOnceIsBuiltAnew) {
-  scheduler.on_result(first->id, {Outcome::refused, 0, {}}, 1);
+  scheduler.on_result(first->id, {Outcome::not_executed, 0, {}}, 1);
   const auto p = page_write(2);
   ASSERT_TRUE(p);
   EXPECT_NE(p->id, first->id);
-  EXPECT_FALSE(p->repeat);
+  EXPECT_FALSE(p->resend);
 }
 
 // The changes a second are few: what is written first decides what starts in time.
@@ -97,7 +97,7 @@
   std::vector<std::string> written(double now) {
     std::vector<std::string> out;
     while (auto p = scheduler.next_transaction(now)) {
-      const auto& change = p->txn.changes.at(0);
+      const auto& change = p->transaction.changes.at(0);
       if (change.key.rfind(ledger::kPagePrefix, 0) == 0)
         out.push_back(change.value.at("e").at(0).at(0).get<std::string>());
       scheduler.on_result(p->id, {Outcome::applied, ++revision, {}}, now);
--- a/tests/simulation/controller.cpp
+++ b/tests/simulation/controller.cpp
@@ -38,7 +38,7 @@
   heard_state_ = kNever;
   next_list_ = next_renewal_ = 0;
   waiting_.clear();
-  heard_sibling_ = world_.clock.now;
+  heard_peer_ = world_.clock.now;
   frozen_until = -1;
   lease_clock_ = LeaseClock(world_.clock.now);
   known_cancellations_ = {};
@@ -49,11 +49,11 @@
   alive = true;
   ++life_;
   reset();
-  std::vector<std::string> siblings;
+  std::vector<std::string> peers;
   for (const auto& c : world_.controllers)
-    if (c.get() != this) siblings.push_back(c->label_);
-  cancellation_staleness_ = siblings.empty() ? CancellationStaleness::of_only_controller()
-                                             : CancellationStaleness(std::move(siblings));
+    if (c.get() != this) peers.push_back(c->label_);
+  cancellation_staleness_ = peers.empty() ? CancellationStaleness::of_only_controller()
+                                          : CancellationStaleness(std::move(peers));
   check_stall();
   read_ledger();
   maintain_leadership();
@@ -127,7 +127,7 @@
 }
 
 void SimController::apply(const Store::Event& event) {
-  if (event.erased) {
+  if (event.deleted) {
     ledger_cache_.erase(event.key, event.version);
     return;
   }
@@ -148,7 +148,7 @@
     else
       scheduler_->round(world_.clock.now);
   } else if (lease_confirmed()) {
-    scheduler_->release_cancelled_work(world_.clock.now);
+    scheduler_->terminate_machines_with_cancelled_tasks(world_.clock.now);
   }
   commit();
   send_direct_commands();
@@ -158,10 +158,10 @@
 
 // A repeated transaction that meets a conflict may have been executed before: then the row that
 // `marked` writes bears its id.
-ledger::Result SimController::execute(Store& store, const ledger::Transaction& t, bool repeat,
+ledger::Result SimController::execute(Store& store, const ledger::Transaction& t, bool resend,
                                       const ledger::Change* marked) {
   ledger::Result result = store.commit(t);
-  if (!repeat || result.outcome != Outcome::conflict || !marked) return result;
+  if (!resend || result.outcome != Outcome::conflict || !marked) return result;
   const Store::Entry* row = store.get(marked->key);
   if (!row || row->value.value("w", "") != t.transaction_id) return result;
   result.outcome = Outcome::applied;
@@ -182,18 +182,18 @@
   call(
       kStatePlace, kStateTimeout,
       [this, pending, answer] {
-        const auto& changes = pending->txn.changes;
+        const auto& changes = pending->transaction.changes;
         const auto written = std::find_if(changes.begin(), changes.end(),
                                           [](const ledger::Change& c) { return !c.erase; });
         const ledger::Change* marked = written == changes.end() ? nullptr : &*written;
-        const auto result = execute(world_.store, pending->txn, pending->repeat, marked);
+        const auto result = execute(world_.store, pending->transaction, pending->resend, marked);
         if (!std::exchange(answer->given, true)) answer->result = result;
       },
       [this, pending, answer, fencing_token = fencing_token_](bool ok) {
         committing_ = false;
         if (!leads_with(fencing_token)) return;
-        const ledger::Result unknown;
-        scheduler_->on_result(pending->id, ok ? answer->result : unknown, world_.clock.now);
+        const ledger::Result indeterminate;
+        scheduler_->on_result(pending->id, ok ? answer->result : indeterminate, world_.clock.now);
         commit();
       });
 }
@@ -250,7 +250,8 @@
       [this, names, outcome, fencing_token = fencing_token_](bool ok) {
         cloud_busy_ = false;
         if (leads_with(fencing_token))
-          scheduler_->on_return(names, ok ? *outcome : CloudOutcome::unknown, world_.clock.now);
+          scheduler_->on_return_result(names, ok ? *outcome : CloudOutcome::indeterminate,
+                                       world_.clock.now);
       });
 }
 
@@ -262,7 +263,7 @@
       [this, request, answer, fencing_token = fencing_token_](bool ok) {
         cloud_busy_ = false;
         if (leads_with(fencing_token))
-          scheduler_->on_rental_result(request, ok ? answer->outcome : CloudOutcome::unknown,
+          scheduler_->on_rental_result(request, ok ? answer->outcome : CloudOutcome::indeterminate,
                                        answer->names, world_.clock.now);
       });
 }
--- a/tests/simulation/controller.h
+++ b/tests/simulation/controller.h
@@ -4,7 +4,7 @@
 // change of the rules there has to be made here too. The World owns them.
 //
 // controller.cpp holds the process and its loops, controller_leadership.cpp elections and the
-// exchange with siblings, controller_requests.cpp what workers and users ask.
+// exchange with peer controllers, controller_requests.cpp what workers and users ask.
 
 #include <cstdint>
 #include <functional>
@@ -59,8 +59,8 @@
     std::vector<Store::Event> events;
     std::vector<std::function<void(bool)>> waiting;  // for a read that began after they did
   };
-  // What siblings tell one another about leaders and cancellations.
-  struct SiblingView {
+  // What peer controllers tell one another about leaders and cancellations.
+  struct PeerView {
     std::string incarnation;
     uint64_t fencing_token = 0, read_to = 0;
   };
@@ -77,7 +77,7 @@
   }
   void run_round();
   void commit();
-  static ledger::Result execute(Store& store, const ledger::Transaction& t, bool repeat,
+  static ledger::Result execute(Store& store, const ledger::Transaction& t, bool resend,
                                 const ledger::Change* marked);
   void send_direct_commands();
   void send_direct_command(const DirectCommand& command);
@@ -105,8 +105,8 @@
   void on_elected(const Campaign& campaign, bool ledger_read);
   void step_down(double cooldown_s = 0);
   void exchange_views();
-  void exchange_view(size_t sibling);
-  void on_sibling_view(const SimController& sibling, const SiblingView& view, double sent);
+  void exchange_view(size_t peer);
+  void on_peer_view(const SimController& peer, const PeerView& view, double sent);
 
   // ---- controller_requests.cpp
   bool may_answer_workers();
@@ -118,12 +118,12 @@
   // Commits, and repeats the same transaction if its outcome stays unknown. Empty: still unknown
   // after so many tries.
   using OnSettled = std::function<void(const std::optional<ledger::Result>&)>;
-  void settle(const ledger::Transaction& t, bool repeat, int tries, const OnSettled& then);
+  void settle(const ledger::Transaction& t, bool resend, int tries, const OnSettled& then);
   void reply_cancelled(const std::string& id, uint64_t leader, const Reply& reply);
   // Whether a user may be told that the job is cancelled. `leader`: the fencing token that its
   // cancellation was conditioned on; 0: not known.
-  void may_confirm_cancelled(const std::string& id, uint64_t leader,
-                             const std::function<void(bool)>& then);
+  void may_confirm_cancellation(const std::string& id, uint64_t leader,
+                                const std::function<void(bool)>& then);
   void tell_leader_of_cancellation(const std::string& id, const CachedJob& job, size_t leader,
                                    uint64_t fencing_token, const std::function<void(bool)>& then);
   uint64_t on_cancellations(uint64_t fencing_token, const std::string& id, const CachedJob& job);
@@ -146,7 +146,7 @@
   KnownCancellations known_cancellations_;
   CancellationStaleness cancellation_staleness_;
   uint64_t highest_token_ = 0;
-  double cooldown_until_ = 0, heard_state_ = -1e9, heard_sibling_ = -1e9;
+  double cooldown_until_ = 0, heard_state_ = -1e9, heard_peer_ = -1e9;
   double next_renewal_ = 0;
 
   bool committing_ = false, cloud_busy_ = false;
--- a/tests/simulation/controller_leadership.cpp
+++ b/tests/simulation/controller_leadership.cpp
@@ -1,4 +1,4 @@
-// Elections, the lease of the leader key, and what siblings tell one another.
+// Elections, the lease of the leader key, and what peer controllers tell one another.
 
 #include <algorithm>
 
@@ -25,7 +25,7 @@
   const double stall = lease_clock_.detect_stall(world_.clock.now);
   if (stall > 0) {
     if (scheduler_) scheduler_->on_process_stall(stall, world_.clock.now);
-    heard_sibling_ = world_.clock.now;
+    heard_peer_ = world_.clock.now;
   }
   return scheduler_ && lease_clock_.lease_confirmed(world_.clock.now, kLeaseTtl);
 }
@@ -61,7 +61,7 @@
 }
 
 void SimController::renew_lease() {
-  enum class Renewal : uint8_t { refused, kept, ended };
+  enum class Renewal : uint8_t { refused, renewed, ended };
   const double sent = world_.clock.now;
   next_renewal_ = sent + kLeaseTtl / 3;
   auto renewal = std::make_shared<Renewal>(Renewal::refused);
@@ -69,13 +69,13 @@
       kStatePlace, kLeaseTimeout,
       [this, renewal, lease = lease_] {
         if (world_.store.outage) return;
-        *renewal = world_.store.renew(lease) ? Renewal::kept : Renewal::ended;
+        *renewal = world_.store.renew(lease) ? Renewal::renewed : Renewal::ended;
       },
       [this, renewal, lease = lease_, sent](bool ok) {
         lease_confirmed();
         lease_clock_.on_renewal_attempted(sent);
         if (!scheduler_ || lease != lease_ || !ok) return;
-        if (*renewal == Renewal::kept) {
+        if (*renewal == Renewal::renewed) {
           lease_clock_.on_renewed(sent);
           cancellation_staleness_.advance_to(sent);
         }
@@ -147,27 +147,26 @@
   later(kViewInterval, &SimController::exchange_views);
 }
 
-void SimController::exchange_view(size_t sibling) {
-  auto view = std::make_shared<SiblingView>();
-  const SimController* other = world_.controllers[sibling].get();
+void SimController::exchange_view(size_t peer) {
+  auto view = std::make_shared<PeerView>();
+  const SimController* other = world_.controllers[peer].get();
   call(
-      controller_place(sibling), kViewTimeout,
+      controller_place(peer), kViewTimeout,
       [view, other] {
         *view = {other->label_ + "." + std::to_string(other->life_), other->known_token(),
                  other->known_cancellations_.read_to()};
       },
       [this, view, other, sent = world_.clock.now](bool ok) {
-        if (ok) on_sibling_view(*other, *view, sent);
+        if (ok) on_peer_view(*other, *view, sent);
       });
 }
 
-void SimController::on_sibling_view(const SimController& sibling, const SiblingView& view,
-                                    double sent) {
-  heard_sibling_ = world_.clock.now;
+void SimController::on_peer_view(const SimController& peer, const PeerView& view, double sent) {
+  heard_peer_ = world_.clock.now;
   known_cancellations_.read_to(view.read_to);
   highest_token_ = std::max(highest_token_, view.fencing_token);
   if (scheduler_ && view.fencing_token > fencing_token_) step_down();
-  cancellation_staleness_.on_peer_response(sibling.label_, view.incarnation, view.fencing_token,
+  cancellation_staleness_.on_peer_response(peer.label_, view.incarnation, view.fencing_token,
                                            fencing_token_, sent, world_.clock.now);
 }
 
--- a/tests/simulation/controller_requests.cpp
+++ b/tests/simulation/controller_requests.cpp
@@ -16,7 +16,7 @@
 constexpr double kMaxStaleness = 3;
 constexpr double kIsolatedAfter = 5;
 constexpr double kLeaderKnownFor = 1.5;
-constexpr double kSettleTimeout = 1.5, kSiblingTimeout = 1;
+constexpr double kSettleTimeout = 1.5, kPeerTimeout = 1;
 // As the daemon's: an answer to a poll or a submission is refused that much after the question.
 constexpr double kPollTooLate = 2, kSubmitTooLate = 4;
 constexpr int kSettleTries = 3;
@@ -27,9 +27,9 @@
 
 bool SimController::may_answer_workers() {
   const double now = world_.clock.now;
-  // As the daemon: one that hears neither siblings nor the state service refuses its workers'
-  // heartbeats.
-  if (world_.controllers.size() > 1 && now - heard_sibling_ > kIsolatedAfter &&
+  // As the daemon: one that hears neither peer controllers nor the state service refuses its
+  // workers' heartbeats.
+  if (world_.controllers.size() > 1 && now - heard_peer_ > kIsolatedAfter &&
       now - heard_state_ > kIsolatedAfter)
     return false;
   // After a stall it does not know yet whether it still leads.
@@ -110,8 +110,8 @@
   ledger::JobRow row;
   row.transaction_id = t.transaction_id;
   row.tasks = spec.tasks;
-  row.chunk_size = ledger::tasks_per_chunk(as_version_0_1 ? settings.value_bytes
-                                                          : settings.lasting_value_bytes());
+  row.chunk_size =
+      ledger::tasks_per_chunk(as_version_0_1 ? settings.value_bytes : settings.min_value_bytes());
   row.timestamp_s = world_.clock.now;
   row.spec = spec;
   const json value = ledger::encode(row);
@@ -154,17 +154,17 @@
          });
 }
 
-void SimController::settle(const ledger::Transaction& t, bool repeat, int tries,
+void SimController::settle(const ledger::Transaction& t, bool resend, int tries,
                            const OnSettled& then) {
   auto result = std::make_shared<ledger::Result>();
   call(
       kStatePlace, kSettleTimeout,
-      [this, t, repeat, result] { *result = execute(world_.store, t, repeat, t.changes.data()); },
-      [this, t, repeat, tries, result, then](bool ok) {
+      [this, t, resend, result] { *result = execute(world_.store, t, resend, t.changes.data()); },
+      [this, t, resend, tries, result, then](bool ok) {
         const bool this_copy_was_not_executed =
-            result->outcome == Outcome::refused || result->outcome == Outcome::rejected;
-        const bool unknown = !ok || (this_copy_was_not_executed && repeat);
-        if (!unknown) return then(*result);
+            result->outcome == Outcome::not_executed || result->outcome == Outcome::rejected;
+        const bool indeterminate = !ok || (this_copy_was_not_executed && resend);
+        if (!indeterminate) return then(*result);
         if (tries <= 1) return then(std::nullopt);
         settle(t, true, tries - 1, then);
       });
@@ -173,12 +173,12 @@
 // ---- cancellations
 
 void SimController::reply_cancelled(const std::string& id, uint64_t leader, const Reply& reply) {
-  may_confirm_cancelled(id, leader, [reply](bool may) { reply(may ? "aborted" : ""); });
+  may_confirm_cancellation(id, leader, [reply](bool may) { reply(may ? "aborted" : ""); });
 }
 
 // As Controller::may_say_aborted.
-void SimController::may_confirm_cancelled(const std::string& id, uint64_t leader,
-                                          const std::function<void(bool)>& then) {
+void SimController::may_confirm_cancellation(const std::string& id, uint64_t leader,
+                                             const std::function<void(bool)>& then) {
   const CachedJob* job = ledger_cache_.job(id);
   if (!job || job->row.status != ledger::JobStatus::cancelled) return then(false);
   if (known_cancellations_.contains(id, job->version)) return then(true);
@@ -204,7 +204,7 @@
                                                 const std::function<void(bool)>& then) {
   auto acknowledged = std::make_shared<uint64_t>(0);  // the token that the leader answers with
   call(
-      controller_place(leader), kSiblingTimeout,
+      controller_place(leader), kPeerTimeout,
       [this, leader, fencing_token, id, job, acknowledged] {
         *acknowledged = world_.controllers[leader]->on_cancellations(fencing_token, id, job);
       },
--- a/tests/simulation/faults_test.cpp
+++ b/tests/simulation/faults_test.cpp
@@ -77,7 +77,7 @@
   commit("n0", mine);
   commit("users", other);
   world.clock.run(6);
-  EXPECT_EQ(mine, ledger::Outcome::refused);
+  EXPECT_EQ(mine, ledger::Outcome::not_executed);
   EXPECT_EQ(other, ledger::Outcome::applied);
   EXPECT_FALSE(world.store.outage);
   world.clock.run(16);
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -25,7 +25,7 @@
 ledger::Result Store::apply(const ledger::Transaction& t) {
   ledger::Result r;
   if (outage) {
-    r.outcome = Outcome::refused;
+    r.outcome = Outcome::not_executed;
     return r;
   }
   if (!within_limits(t)) {
@@ -34,13 +34,13 @@
     return r;
   }
   ++transactions;
-  r.failed = failed_conditions(t);
-  if (!r.failed.empty()) {
+  r.failed_keys = failed_conditions(t);
+  if (!r.failed_keys.empty()) {
     r.outcome = Outcome::conflict;
     return r;
   }
   if (names_ended_lease(t)) {
-    r.outcome = Outcome::refused;
+    r.outcome = Outcome::not_executed;
     return r;
   }
   ++revision;
--- a/tests/simulation/state_service.h
+++ b/tests/simulation/state_service.h
@@ -26,7 +26,7 @@
   // One change of one row.
   struct Event {
     std::string key;
-    bool erased = false;
+    bool deleted = false;
     nlohmann::json value;
     uint64_t version = 0;
   };
--- a/tests/simulation/worker_tasks.cpp
+++ b/tests/simulation/worker_tasks.cpp
@@ -36,7 +36,7 @@
 
 void Worker::execute(const std::vector<WorkerCommand>& commands, double ordered_at) {
   for (const WorkerCommand& command : commands) {
-    switch (command.verb) {
+    switch (command.kind) {
       case CommandKind::start:
         start_task(command, ordered_at);
         break;
--- a/tests/upgrade/rehearse_upgrade.cpp
+++ b/tests/upgrade/rehearse_upgrade.cpp
@@ -105,19 +105,19 @@
 
  private:
   json settings_of(const Replica& own) const {
-    json siblings = json::array();
+    json peers = json::array();
     for (const Replica& r : replicas_)
       if (r.label != own.label)
-        siblings.push_back({{"label", r.label},
-                            {"location", "a"},
-                            {"endpoint", "127.0.0.1:" + std::to_string(r.mesh_port)}});
+        peers.push_back({{"label", r.label},
+                         {"location", "a"},
+                         {"endpoint", "127.0.0.1:" + std::to_string(r.mesh_port)}});
     const json next = {{"write_rps", 150.0}, {"value_kb", 1.0}, {"txn_ops", 4}};
     return {
         {"label", own.label},
         {"location", "a"},
         {"bind", "127.0.0.1:" + std::to_string(own.port)},
         {"mesh_addr", "127.0.0.1:" + std::to_string(own.mesh_port)},
-        {"siblings", siblings},
+        {"siblings", peers},
         {"external",
          {{"cloud", "127.0.0.1:" + std::to_string(cloud_.port())},
           {"state", "127.0.0.1:" + std::to_string(state_.port())}}},
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -47,12 +47,12 @@
   void apply_committed(const wire::Row& row) override {
     ledger_cache.put(row.key, row.value, row.version);
   }
-  bool may_confirm_cancelled(const std::string& job, double, uint64_t leader) override {
+  bool may_confirm_cancellation(const std::string& job, double, uint64_t leader) override {
     asked_about.push_back(job);
     leader_at_write = leader;
     return leader_knows;
   }
-  bool siblings_are_served() const override { return siblings_served; }
+  bool peers_reach_state_service() const override { return peers_reach_state; }
 
   void put_job(JobStatus status, uint64_t version = kVersion) {
     ledger::JobRow row;
@@ -74,7 +74,7 @@
 
   LedgerCache ledger_cache;
   std::vector<MachineType> types;
-  bool barrier_ok = true, leader_knows = true, siblings_served = false;
+  bool barrier_ok = true, leader_knows = true, peers_reach_state = false;
   std::function<void()> on_barrier;  // what it brings
   std::deque<ledger::Result> results;
   int barriers = 0, marks = 0;
@@ -254,7 +254,7 @@
 
 TEST_F(UserApiTest, ASubmissionWithoutAnOutcomeIsNotAccepted) {
   expect_refusal(submit(), false);  // none in time
-  ledger.answer_commits(Outcome::refused);
+  ledger.answer_commits(Outcome::not_executed);
   expect_refusal(submit(), false);
   EXPECT_FALSE(ledger.ledger_cache.job(kJob));
 }
@@ -355,7 +355,7 @@
   EXPECT_EQ(abort().status, 404);
   ledger.put_job(JobStatus::open);
   expect_refusal(abort(), false);
-  ledger.answer_commits(Outcome::refused);
+  ledger.answer_commits(Outcome::not_executed);
   expect_refusal(abort(), false);
   ledger.barrier_ok = false;
   expect_refusal(abort(), false);
@@ -368,7 +368,7 @@
 TEST_F(UserApiTest, AReplicaAloneInItsTroubleLetsTheConnectionGo) {
   ledger.barrier_ok = false;
   expect_refusal(poll(), false);
-  ledger.siblings_served = true;
+  ledger.peers_reach_state = true;
   expect_refusal(poll(), true);
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -114,7 +114,7 @@
   ASSERT_EQ(r->tasks.size(), 2u);
   EXPECT_EQ(r->tasks[0].task, 3u);
   EXPECT_EQ(r->tasks[1].cause, ExitCause::stopped);
-  EXPECT_TRUE(r->tasks[1].saved);
+  EXPECT_TRUE(r->tasks[1].checkpoint_saved);
   EXPECT_FALSE(parse_heartbeat({{"tenure", 1}}));
 }
 
@@ -160,7 +160,7 @@
   }
 }
 
-// What a job says may be shown to siblings as JSON, which holds no other text than UTF-8.
+// What a job says may be shown to peer controllers as JSON, which holds no other text than UTF-8.
 TEST(Wire, TextIsUtf8) {
   for (const char* f : {"kit", "lot", "crew", "yard"}) {
     json j = good();
@@ -480,9 +480,9 @@
   EXPECT_EQ(events->rows.at(0).key, "c/9");
   EXPECT_EQ(events->rows.at(0).value, 5);
   EXPECT_EQ(events->rows.at(0).version, 433u);
-  EXPECT_FALSE(events->rows.at(0).erased);
+  EXPECT_FALSE(events->rows.at(0).deleted);
   EXPECT_EQ(events->rows.at(1).key, "c/d");
-  EXPECT_TRUE(events->rows.at(1).erased);
+  EXPECT_TRUE(events->rows.at(1).deleted);
   EXPECT_EQ(parse_events({{"ledger", 1}})->rows.size(), 0u);
 }
 
--- a/tests/write_share_test.cpp
+++ b/tests/write_share_test.cpp
@@ -13,10 +13,10 @@
 constexpr double kLeast = 0.1;
 
 WriteShare replica(const std::string& label) {
-  std::vector<std::string> siblings;
+  std::vector<std::string> peers;
   for (const char* other : {"a", "b", "c"})
-    if (label != other) siblings.emplace_back(other);
-  return {label, siblings, 3, kRate};
+    if (label != other) peers.emplace_back(other);
+  return {label, peers, 3, kRate};
 }
 
 TEST(WriteShare, AReplicaAloneHasAlmostAll) {
@@ -37,7 +37,7 @@
   EXPECT_DOUBLE_EQ(b.own_demand(), 4);
   EXPECT_DOUBLE_EQ(b.share("a", 11), 1.5 * 4 / kRate + kLeast);
   WriteShare a = replica("a");
-  a.record_sibling("b", 4, 11);
+  a.record_peer("b", 4, 11);
   EXPECT_DOUBLE_EQ(a.share("a", 11), 0.95 - (1.5 * 4 / kRate + 2 * kLeast));
 }
 
@@ -51,9 +51,9 @@
         c.record_own(demand / 2, 0, now);
       }
       for (WriteShare* to : {&a, &b, &c}) {
-        to->record_sibling("a", a.own_demand(), 11);
-        to->record_sibling("b", b.own_demand(), 11);
-        to->record_sibling("c", c.own_demand(), 11);
+        to->record_peer("a", a.own_demand(), 11);
+        to->record_peer("b", b.own_demand(), 11);
+        to->record_peer("c", c.own_demand(), 11);
       }
       const double all = a.share("a", 11) + b.share("a", 11) + c.share("a", 11);
       EXPECT_NEAR(all, 0.95, 1e-9) << demand << " " << backlog;
@@ -78,27 +78,27 @@
   EXPECT_DOUBLE_EQ(b.own_demand(), 5);
 }
 
-TEST(WriteShare, ASiblingThatWasNotHeardOfLatelyCountsNothing) {
+TEST(WriteShare, APeerThatWasNotHeardOfLatelyCountsNothing) {
   WriteShare a = replica("a");
-  EXPECT_EQ(a.reachable_siblings(10), 0);
-  a.record_sibling("b", 4, 10);
-  EXPECT_EQ(a.reachable_siblings(12.9), 1);
-  EXPECT_EQ(a.reachable_siblings(13), 0);
+  EXPECT_EQ(a.reachable_peers(10), 0);
+  a.record_peer("b", 4, 10);
+  EXPECT_EQ(a.reachable_peers(12.9), 1);
+  EXPECT_EQ(a.reachable_peers(13), 0);
   EXPECT_LT(a.share("a", 15.9), 0.95 - 2 * kLeast);
   EXPECT_DOUBLE_EQ(a.share("a", 16), 0.95 - 2 * kLeast);
-  a.record_sibling("b", 4, 20);
-  a.record_sibling("c", 0, 20);
-  EXPECT_EQ(a.reachable_siblings(20), 2);
+  a.record_peer("b", 4, 20);
+  a.record_peer("c", 0, 20);
+  EXPECT_EQ(a.reachable_peers(20), 2);
 }
 
 TEST(WriteShare, WhatCannotBeSoIsNotBelieved) {
   WriteShare a = replica("a"), b = replica("b");
-  a.record_sibling("stranger", 1e9, 10);
-  EXPECT_EQ(a.reachable_siblings(10), 0);
+  a.record_peer("stranger", 1e9, 10);
+  EXPECT_EQ(a.reachable_peers(10), 0);
   EXPECT_DOUBLE_EQ(a.share("a", 10), 0.95 - 2 * kLeast);
-  a.record_sibling("b", -5, 10);
+  a.record_peer("b", -5, 10);
   EXPECT_DOUBLE_EQ(a.share("a", 10), 0.95 - 2 * kLeast);
-  a.record_sibling("b", 1e300, 10);
+  a.record_peer("b", 1e300, 10);
   EXPECT_NEAR(a.share("a", 10), 0.95 - 0.85, 1e-9);
   // A limit of nothing divides by nothing.
   WriteShare none("a", {"b"}, 2, 0);
