--- a/src/config/settings_file.cpp
+++ b/src/config/settings_file.cpp
@@ -85,7 +85,7 @@
     // The platform may come to have other kinds; they have no influence on the order of work.
     if (kind != "wait" && kind != "finished") continue;
     Objective objective;
-    objective.start = kind == "wait";
+    objective.is_start_objective = kind == "wait";
     objective.job_class = entry.text("class");
     objective.within_s = entry.number("within_s", kObjectiveS);
     objectives.push_back(std::move(objective));
--- a/src/ledger/page_table.cpp
+++ b/src/ledger/page_table.cpp
@@ -69,7 +69,7 @@
 }
 
 void PageTable::mark_changed(Job& job, uint32_t task, WriteUrgency urgency, double now) {
-  const uint32_t first = job.chunk_of(task);
+  const uint32_t first = job.first_task_of_chunk(task);
   if (job.chunks.at(first).page == kNone)
     add_chunk(job, first, find_or_add_page(job.chunk_bytes(first), job.page_kind()));
   pages_[job.chunks.at(first).page].mark_dirty(urgency, now);
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -1,7 +1,7 @@
 #pragma once
-// A machine as the leader knows it: what the cloud and its worker said of it, and how well it can
-// be reached. Plain data owned by MachineTable, which alone changes `state`; TaskLifecycle alone
-// changes `tasks` and `used`.
+// The leader's in-memory state of a machine: what the cloud and its worker reported, and whether
+// the worker is reachable. Plain data owned by MachineTable. Only MachineTable changes `state`, and
+// only TaskLifecycle changes `tasks` and `used`.
 
 #include <cstdint>
 #include <map>
@@ -25,56 +25,61 @@
 struct Machine {
   // Identity.
   Index index = kNone;
-  std::string name, addr;
+  std::string name, addr;  // addr: where its worker accepts direct commands; empty: unknown
   Index type = kNone, zone = kNone;
   bool spot = false;
 
-  // Life.
+  // Rental.
   MachineState state = MachineState::booting;
-  double rented_at = 0;
+  double rented_at = 0;  // first seen, if the time of the rental is unknown
   double draining_since = 0;
-  double reclaim_at = -1;  // when the cloud takes it; negative: no notice
-  bool listed = false;     // seen in the cloud's list, or unlisted since `unlisted_at`
-  double unlisted_at = -1;
-  bool cordoned = false;   // never used again
-  bool returning = false;  // a return call is under way
-  double return_after = 0;
+  double reclaim_at = -1;   // when the cloud reclaims it; negative: no reclaim notice
+  bool listed = false;      // has been in the cloud's list at least once
+  double unlisted_at = -1;  // missing from the cloud's list since then; negative: not missing
+  bool cordoned = false;    // faulty or about to be reclaimed: accepts no new tasks any more
+  bool returning = false;   // a return request is in flight
+  double return_after = 0;  // earliest time of the next return request
 
   // Heartbeats.
-  bool registered = false;  // a heartbeat of it carried this leader's token
-  bool was_up = false;      // the ledger has attempts on it, or it sent a heartbeat
-  double last_heartbeat = 0;
-  uint64_t epoch = 0, seq = 0;  // of the last heartbeat
+  bool registered = false;  // has sent a heartbeat with this leader's fencing token
+  // It sent a heartbeat, the cloud listed it as running, or the ledger has attempts on it.
+  bool was_up = false;
+  double last_heartbeat = 0;    // the heartbeat timeout starts here
+  uint64_t epoch = 0, seq = 0;  // of the last heartbeat or response to a direct command
   HeartbeatId last_heartbeat_id() const { return {epoch, seq}; }
 
-  // Heartbeats with an older token than ours, though they were answered; none once registered.
-  double older_token_since = -1;
+  // Heartbeats that this leader replied to and that carry the fencing token of an earlier leader.
+  // Not recorded once the machine is registered.
+  double older_token_since = -1;  // time of the first; negative: none
   int heartbeats_with_older_token = 0;
-  double last_older_token_at = 0;   // the last that was counted
-  HeartbeatId last_older_token_id;  // the latest
+  double last_older_token_at = 0;   // time of the last one that was counted
+  HeartbeatId last_older_token_id;  // the latest one, counted or not
 
   // Commands.
-  CommandAcknowledgement acknowledgement;  // of the replies to its heartbeats
-  double unacknowledged_since = -1;
-  bool direct_in_flight = false;
-  // Attempts for which a direct command stays unanswered: a late copy may be executed as long as
-  // token and epoch hold, and would start a cleared attempt anew, so these are never cleared.
+  CommandAcknowledgement acknowledgement;  // of the commands in heartbeat replies
+  double unacknowledged_since = -1;        // unreachable since then; negative: reachable
+  bool direct_in_flight = false;           // a call with direct commands is in flight
+  // Attempts whose direct start command has an indeterminate outcome. A delayed copy of the command
+  // may be executed while the fencing token and the epoch are unchanged, and would restart an
+  // attempt that the worker was told to forget. These attempts therefore get no `forget` command.
   std::set<AttemptRef> indeterminate_starts;
-  // Whether its worker does not receive our replies, however regularly its heartbeats arrive.
+  // Whether its worker does not receive the replies to its heartbeats, although heartbeats arrive.
   bool is_unreachable() const { return acknowledgement.is_unreachable(); }
 
-  // What is on it.
+  // Tasks and images.
   Resources used;                                 // by attempts that have not ended
   std::vector<std::pair<Index, uint32_t>> tasks;  // (job, task) of attempts that have not ended
-  std::map<Index, CachedImage> images;            // by image
-  bool has_unknown_tasks = false;  // tasks that the ledger does not know; nothing new meanwhile
+  std::map<Index, CachedImage> images;            // cached images, by image index
+  // Its worker lists attempts that the leader does not know. It accepts no new tasks meanwhile.
+  bool has_unknown_tasks = false;
 
   // Faults and reservations.
-  std::set<Index> failed_jobs;  // distinct jobs that failed here since a success
-  double suspect_until = 0;
-  Index reserved_for = kNone;  // a job that others were stopped for
+  std::set<Index> failed_jobs;  // jobs that failed here since a task last succeeded here
+  double suspect_until = 0;     // accepts no new tasks until then, after an error
+  Index reserved_for = kNone;   // a job that has preempted tasks here or has waited long
   double reserved_until = 0;
 
+  // Whether tasks may be placed on it, as far as its state and its worker are concerned.
   bool is_usable() const {
     return state == MachineState::ready && registered && !cordoned && !has_unknown_tasks &&
            !is_unreachable();
--- a/src/model/scheduler_messages.h
+++ b/src/model/scheduler_messages.h
@@ -1,6 +1,6 @@
 #pragma once
-// What the scheduler asks of the daemon: replies to heartbeats, direct commands, transactions and
-// rentals. Plain data; the daemon carries each out and gives its outcome back to the scheduler.
+// Requests of the scheduler to the daemon: heartbeat replies, direct commands, transactions and
+// rentals. Plain data; the daemon executes each request and reports its outcome to the scheduler.
 
 #include <cstdint>
 #include <string>
@@ -12,36 +12,39 @@
 namespace rookdyke {
 
 struct HeartbeatReply {
-  // outdated: a newer heartbeat has been handled, no reply is expected. deposed: the worker has
-  // seen the token of a newer leader.
+  // outdated: a newer heartbeat of the machine has been handled, and the worker no longer waits for
+  // this reply. deposed: the worker has seen the fencing token of a newer leader.
   enum class Verdict : uint8_t { accepted, outdated, deposed } verdict = Verdict::accepted;
   std::vector<WorkerCommand> commands;
 };
 
-// Commands (none: only our fencing token) sent straight to a worker, without waiting for its next
-// heartbeat.
+// Commands that the leader sends to a worker on its own connection, without waiting for the next
+// heartbeat. Without commands, the call only announces the leader's fencing token.
 struct DirectCommand {
   Index machine = kNone;
   std::string addr;
-  uint64_t epoch = 0;  // the worker refuses the call in any other
+  uint64_t epoch = 0;  // the worker refuses the call if its epoch is a different one
   std::vector<WorkerCommand> commands;
 };
 
-// A transaction on the state service.
+// A transaction for the state service.
 struct PendingTransaction {
   uint64_t id = 0;
   ledger::Transaction transaction;
-  bool resend = false;  // an earlier copy may still be executed: it goes out unchanged
+  // An earlier copy may have been executed or may still be. The transaction is sent unchanged.
+  bool resend = false;
 };
 
-// A request for so many machines of a kind, under a name that makes it idempotent.
+// A request to rent `count` machines of one type, zone and kind (spot or on-demand). Its name makes
+// it idempotent.
 struct RentalRequest {
   std::string name, type, zone;
   bool spot = false;
   int count = 0;
 };
 
-// What the cloud answered. unknown: no answer came, the call may have been carried out.
+// Outcome of a rental or return. refused: the cloud did not execute the request. indeterminate: the
+// response was lost, and the request may have been executed.
 enum class CloudOutcome : uint8_t { done, no_capacity, refused, indeterminate };
 
 }  // namespace rookdyke
--- a/src/model/states.cpp
+++ b/src/model/states.cpp
@@ -20,11 +20,11 @@
   return kNames[static_cast<size_t>(state)];
 }
 
-bool allowed(JobState from, JobState to) {
+bool is_transition_allowed(JobState from, JobState to) {
   switch (from) {
     case JobState::open:
       return to == JobState::closing || to == JobState::cancelled;
-    case JobState::closing:  // the closing transaction may still lose to a cancellation
+    case JobState::closing:  // the closing transaction may lose a conflict with a cancellation
       return to == JobState::done || to == JobState::cancelled || to == JobState::open;
     case JobState::done:
     case JobState::cancelled:
@@ -33,7 +33,7 @@
   return false;
 }
 
-bool allowed(AttemptState from, AttemptState to) {
+bool is_transition_allowed(AttemptState from, AttemptState to) {
   switch (from) {
     case AttemptState::proposed:
       return to == AttemptState::placed;
@@ -42,7 +42,7 @@
     case AttemptState::gang_waiting:
     case AttemptState::running:
     case AttemptState::checkpointing:
-      // A new leader meets an attempt in any phase, so all reported phases follow one another.
+      // A new leader may first see an attempt in any phase, so any phase may follow any other.
       return to >= AttemptState::fetching;
     case AttemptState::ended:
       return false;
@@ -50,7 +50,7 @@
   return false;
 }
 
-bool allowed(MachineState from, MachineState to) {
+bool is_transition_allowed(MachineState from, MachineState to) {
   switch (from) {
     case MachineState::booting:
       return to == MachineState::ready || to == MachineState::terminating ||
--- a/src/placement/array_placement.cpp
+++ b/src/placement/array_placement.cpp
@@ -18,7 +18,8 @@
 // that is less: a fraction of an array much larger than the fleet would take every free slot before
 // jobs with start-time objectives.
 uint32_t initial_starvation_allowance(const Job& job, size_t ready_machines) {
-  const double fleet_slots = job.share > 0 ? static_cast<double>(ready_machines) / job.share : 0;
+  const double fleet_slots =
+      job.min_machine_share > 0 ? static_cast<double>(ready_machines) / job.min_machine_share : 0;
   const double considered_tasks = std::min<double>(job.tasks(), fleet_slots);
   return std::max(kMinStarvationAllowance,
                   static_cast<uint32_t>(considered_tasks) / kStarvationDivisor);
--- a/src/placement/gang_placement.cpp
+++ b/src/placement/gang_placement.cpp
@@ -22,7 +22,8 @@
   if (JobQueue::is_starved(job, round.now)) return true;
   const double waited = round.now - JobQueue::waiting_since(job);
   if (waited < (job.needs_prompt_start ? kPromptStartReserveAfterS : kReserveAfterS)) return false;
-  return job.tasks() * job.share <= kMaxReservingShare * static_cast<double>(round.ready_machines);
+  return job.tasks() * job.min_machine_share <=
+         kMaxReservingShare * static_cast<double>(round.ready_machines);
 }
 
 // Whether all attempts of the gang have the same number and none has gone beyond waiting for the
--- a/src/placement/job_queue.cpp
+++ b/src/placement/job_queue.cpp
@@ -94,7 +94,8 @@
     if (job.needs_prompt_start) return within - age - kPromptStartPrecedenceS;
     if (within - age < kDueSoonS) return within - age - kDueSoonPrecedenceS;
   }
-  const double left = (job.tasks() - job.done_count) * job.share * job.spec.expected_runtime_s;
+  const double left =
+      (job.tasks() - job.done_count) * job.min_machine_share * job.spec.expected_runtime_s;
   return std::min(left * settings_.tuning.short_job_preference_s, kMaxShortJobPreferenceS) - age;
 }
 
--- a/src/placement/machine_reservations.cpp
+++ b/src/placement/machine_reservations.cpp
@@ -59,7 +59,7 @@
 bool MachineReservations::may_reserve(const Job& job, double now) {
   if (now - JobQueue::waiting_since(job) < kReserveAfterS) return false;
   if (job.is_gang()) return job.attempts.empty();
-  return job.share >= kMinReservingShare;
+  return job.min_machine_share >= kMinReservingShare;
 }
 
 // Renews the job's reservations and returns their number.
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -130,12 +130,13 @@
 }
 
 bool Preemption::is_known_unpreemptable(const Job& job, uint32_t count) const {
-  return std::any_of(
-      unpreemptable_.begin(), unpreemptable_.end(), [&](const UnpreemptableRequest& r) {
-        return r.priority == job.spec.priority && !job.placement.guaranteed && r.zone == job.zone &&
-               r.spot == job.spec.spot && r.single_zone == job.spec.single_zone &&
-               r.types == job.types && count >= r.count && r.share <= job.share + kRoundingSlack;
-      });
+  return std::any_of(unpreemptable_.begin(), unpreemptable_.end(),
+                     [&](const UnpreemptableRequest& r) {
+                       return r.priority == job.spec.priority && !job.placement.guaranteed &&
+                              r.zone == job.zone && r.spot == job.spec.spot &&
+                              r.single_zone == job.spec.single_zone && r.types == job.types &&
+                              count >= r.count && r.share <= job.min_machine_share + kRoundingSlack;
+                     });
 }
 
 // Keeps only the candidates of the first zone that reaches `count` candidates in order of cost;
@@ -183,7 +184,8 @@
   if (candidates.empty() || (job.is_gang() && candidates.size() < count)) {
     if (!requires_image)
       unpreemptable_.push_back({job.spec.priority, job.zone, job.types, job.spec.spot,
-                                job.spec.single_zone, job.is_gang() ? count : 1, job.share});
+                                job.spec.single_zone, job.is_gang() ? count : 1,
+                                job.min_machine_share});
     return;
   }
   for (size_t k = 0; k < std::min<size_t>(count, candidates.size()); ++k)
--- a/src/scheduler/job_loader.cpp
+++ b/src/scheduler/job_loader.cpp
@@ -106,7 +106,7 @@
   job.done_count = job.done.count();
   for (const MachineType& type : catalog_.types) {
     const double share = job.spec.per_task.dominant_share(type.size);
-    if (job.share == 0 || share < job.share) job.share = share;
+    if (job.min_machine_share == 0 || share < job.min_machine_share) job.min_machine_share = share;
   }
   if (row.row.status == ledger::JobStatus::open) collect_waiting_tasks(job, row.version);
   return job;
@@ -127,7 +127,7 @@
 void JobLoader::add_start_objectives(Job& job) {
   const double boot_s = catalog_.shortest_boot_s();
   for (const Objective& objective : settings_.objectives) {
-    if (!objective.start || objective.job_class != job.spec.job_class) continue;
+    if (!objective.is_start_objective || objective.job_class != job.spec.job_class) continue;
     job.start_objectives_s.push_back(objective.within_s);
     // If the objective is shorter than the boot time, a machine rented for the job would boot too
     // late, so that the job needs a prompt start on capacity that is there already. For a longer
--- a/src/scheduler/job_table.cpp
+++ b/src/scheduler/job_table.cpp
@@ -25,7 +25,7 @@
 
 bool JobTable::set_state(Job& job, JobState to) {
   if (job.state == to) return true;
-  if (!allowed(job.state, to)) {
+  if (!is_transition_allowed(job.state, to)) {
     spdlog::error("job {}: invalid state transition from {} to {}", job.spec.id,
                   to_string(job.state), to_string(to));
     return false;
--- a/src/scheduler/machine_table.cpp
+++ b/src/scheduler/machine_table.cpp
@@ -20,7 +20,7 @@
 
 bool MachineTable::set_state(Machine& machine, MachineState to, const char* reason) {
   if (machine.state == to) return true;
-  if (!allowed(machine.state, to)) {
+  if (!is_transition_allowed(machine.state, to)) {
     spdlog::error("machine {}: invalid state transition from {} to {} ({})", machine.name,
                   to_string(machine.state), to_string(to), reason);
     return false;
--- a/src/scheduler/task_lifecycle.cpp
+++ b/src/scheduler/task_lifecycle.cpp
@@ -28,7 +28,7 @@
 
 bool TaskLifecycle::set_state(Job& job, Attempt& attempt, AttemptState to) {
   if (attempt.state == to) return true;
-  if (!allowed(attempt.state, to)) {
+  if (!is_transition_allowed(attempt.state, to)) {
     spdlog::error("task {}/{} attempt {}: invalid state transition from {} to {}", job.spec.id,
                   attempt.task, attempt.number, to_string(attempt.state), to_string(to));
     return false;
@@ -65,11 +65,11 @@
   attempt.number = number;
   attempt.machine = machine.index;
   attempt.epoch = machine.epoch;
-  attempt.since = now;
+  attempt.proposed_at = now;
   attempt.preemption_exempt = preemption_exempt;
   allocate_resources(job, attempt);
   job.waiting.erase(task);
-  ++job.proposed;
+  ++job.proposed_count;
   job.highest_attempt = std::max(job.highest_attempt, number);
   pages_.mark_changed(job, task, start_urgency(job), now);
   spdlog::debug("task {}/{} attempt {}: proposed on machine {}", job.spec.id, task, number,
@@ -87,7 +87,7 @@
   attempt.machine = machine.index;
   attempt.epoch = live.epoch;
   attempt.state = AttemptState::placed;
-  attempt.since = now;
+  attempt.proposed_at = now;
   allocate_resources(job, attempt);
 }
 
@@ -98,14 +98,14 @@
 }
 
 void TaskLifecycle::withdraw_proposals(Job& job, bool all) {
-  if (job.proposed == 0) return;
+  if (job.proposed_count == 0) return;
   const auto is_invalid = [this](const Attempt& attempt) {
     return attempt.state == AttemptState::proposed && !is_proposal_valid(attempt);
   };
   const bool any = all || std::any_of(job.attempts.begin(), job.attempts.end(),
                                       [&](const auto& entry) { return is_invalid(entry.second); });
   if (!any) return;
-  all = all || (job.is_gang() && job.proposed == job.attempts.size());
+  all = all || (job.is_gang() && job.proposed_count == job.attempts.size());
   for (auto it = job.attempts.begin(); it != job.attempts.end();) {
     const uint32_t task = it->first;
     const Attempt& attempt = it->second;
@@ -118,10 +118,10 @@
 
 void TaskLifecycle::mark_placed(Job& job, Attempt& attempt, double now) {
   if (!set_state(job, attempt, AttemptState::placed)) return;
-  --job.proposed;
+  --job.proposed_count;
   commands_.add(attempt.machine);
   // Once the starts of all tasks of a gang are durable, all of them may be commanded.
-  if (job.is_gang() && job.proposed == 0)
+  if (job.is_gang() && job.proposed_count == 0)
     for (const auto& [task, other] : job.attempts) commands_.add(other.machine);
   // end() comes last because it may erase the job.
   if (machines_[attempt.machine].state == MachineState::terminated)
@@ -238,7 +238,7 @@
   // The attempt still holds resources if it is a withdrawn proposal, or if it belongs to a gang of
   // which another task has reported success.
   if (attempt.state != AttemptState::ended) deallocate_resources(job, attempt);
-  if (attempt.state == AttemptState::proposed) --job.proposed;
+  if (attempt.state == AttemptState::proposed) --job.proposed_count;
   job.attempts.erase(it);
   if (job.state == JobState::open && !job.done.has(task)) job.waiting.insert(task);
 }
--- a/src/workers/start_permission.h
+++ b/src/workers/start_permission.h
@@ -16,7 +16,7 @@
   bool may_start(const Job& job, const Attempt& attempt) const {
     if (attempt.state != AttemptState::placed || attempt.stop_requested) return false;
     if (job.is_finished() || !starts_allowed_) return false;
-    return !job.is_gang() || job.proposed == 0;
+    return !job.is_gang() || job.proposed_count == 0;
   }
 
  private:
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -196,10 +196,10 @@
   EXPECT_DOUBLE_EQ(c.memory_mb, 100);
   EXPECT_EQ(c.max_sockets, 1500u);
   ASSERT_EQ(c.scheduler.objectives.size(), 2u);
-  EXPECT_TRUE(c.scheduler.objectives[0].start);
+  EXPECT_TRUE(c.scheduler.objectives[0].is_start_objective);
   EXPECT_EQ(c.scheduler.objectives[0].job_class, "web");
   EXPECT_DOUBLE_EQ(c.scheduler.objectives[0].within_s, 20);
-  EXPECT_FALSE(c.scheduler.objectives[1].start);
+  EXPECT_FALSE(c.scheduler.objectives[1].is_start_objective);
   for (const char* key : {"class", "within_s"}) {
     json lacks = j;
     lacks["params"]["objectives"][0].erase(key);
--- a/tests/scheduler/job_states_test.cpp
+++ b/tests/scheduler/job_states_test.cpp
@@ -12,13 +12,13 @@
 
 TEST(States, TerminalStatesAreTerminal) {
   for (const JobState to : {JobState::open, JobState::closing, JobState::done})
-    EXPECT_FALSE(allowed(JobState::cancelled, to));
+    EXPECT_FALSE(is_transition_allowed(JobState::cancelled, to));
   for (const JobState to : {JobState::open, JobState::closing, JobState::cancelled})
-    EXPECT_FALSE(allowed(JobState::done, to));
-  EXPECT_FALSE(allowed(AttemptState::proposed, AttemptState::running));
-  EXPECT_FALSE(allowed(AttemptState::ended, AttemptState::running));
-  EXPECT_FALSE(allowed(MachineState::terminated, MachineState::ready));
-  EXPECT_TRUE(allowed(MachineState::draining, MachineState::ready));
+    EXPECT_FALSE(is_transition_allowed(JobState::done, to));
+  EXPECT_FALSE(is_transition_allowed(AttemptState::proposed, AttemptState::running));
+  EXPECT_FALSE(is_transition_allowed(AttemptState::ended, AttemptState::running));
+  EXPECT_FALSE(is_transition_allowed(MachineState::terminated, MachineState::ready));
+  EXPECT_TRUE(is_transition_allowed(MachineState::draining, MachineState::ready));
 }
 
 // A copy of a job's row that comes after the job is over must not bring it back.
--- a/tests/scheduler/lowered_limits_test.cpp
+++ b/tests/scheduler/lowered_limits_test.cpp
@@ -278,7 +278,7 @@
   EXPECT_EQ(rejected, 0u);
   const Job& job = *scheduler->find_job(kArray);
   EXPECT_EQ(job.attempts.size(), kPer);
-  EXPECT_EQ(job.proposed, 0u);
+  EXPECT_EQ(job.proposed_count, 0u);
 }
 
 TEST_F(LoweredLimits, ACancelledJobWithALongDescriptionKeepsWhatItsLimitsNeed) {
