--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -49,11 +49,12 @@
   // Whether a durable cancellation may be confirmed to its user, which requires that the leader
   // knows it. Waits for that until the deadline (seconds of steady_now()). `leader` is the fencing
   // token of the leader at the time of the write; 0 if unknown.
-  virtual bool may_confirm_cancelled(const std::string& job, double deadline, uint64_t leader) = 0;
+  virtual bool may_confirm_cancellation(const std::string& job, double deadline,
+                                        uint64_t leader) = 0;
   // Whether a peer controller recently reported that it reaches the state service. If this
   // controller does not reach the state service at that time, the cause is a partition of this
   // controller rather than an outage of the state service.
-  virtual bool siblings_are_served() const = 0;
+  virtual bool peers_reach_state_service() const = 0;
 };
 
 // Thread-safe: requests share no state except the ledger.
@@ -91,9 +92,9 @@
   // Whether respond_unavailable() closes the connection always, or only if a peer controller
   // reaches the state service. Closing it lets the load balancer route the user's retry to another
   // controller.
-  enum class Connection { close_if_siblings_are_served, close };
+  enum class Connection { close_if_peers_reach_state_service, close };
   void respond_unavailable(httplib::Response& response, const char* reason,
-                           Connection connection = Connection::close_if_siblings_are_served);
+                           Connection connection = Connection::close_if_peers_reach_state_service);
 
   const Settings& settings_;
   JobLedger& ledger_;
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -28,7 +28,7 @@
   std::optional<std::vector<MachineType>> machine_types();
 
   struct RentalResult {
-    CloudOutcome outcome = CloudOutcome::unknown;
+    CloudOutcome outcome = CloudOutcome::indeterminate;
     std::vector<std::string> machines;  // names of the rented machines
   };
   // Called immediately before a request is sent, after any wait for the rate limit. Returns false,
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -19,7 +19,7 @@
 };
 
 // A peer controller: another controller of this deployment.
-struct Sibling {
+struct PeerController {
   std::string label;
   Endpoint mesh;  // where it accepts connections from peer controllers
 };
@@ -31,7 +31,7 @@
   Endpoint mesh;   // where peer controllers connect
   Endpoint cloud;  // the cloud's API
   Endpoint state;  // the state service
-  std::vector<Sibling> siblings;
+  std::vector<PeerController> peers;
   int nodes = 1;  // controllers of the deployment, including this one
 
   // Limits of the whole deployment, shared by all controllers.
@@ -69,6 +69,6 @@
 // peer controllers. The rest of `max_sockets` is reserved for sockets that this process opens
 // itself and for connections that the kernel has accepted but the server has not.
 size_t connections_from_outside(const Config& config);
-size_t connections_from_siblings(const Config& config);
+size_t connections_from_peers(const Config& config);
 
 }  // namespace rookdyke
--- a/src/config/settings_file.cpp
+++ b/src/config/settings_file.cpp
@@ -61,8 +61,8 @@
   config.scheduler.label = file.string("label");
   config.bind = file.endpoint("bind");
   config.mesh = file.endpoint("mesh_addr");
-  for (const SettingsObject& sibling : file.objects("siblings"))
-    config.siblings.push_back({sibling.string("label"), sibling.endpoint("endpoint")});
+  for (const SettingsObject& peer : file.objects("siblings"))
+    config.peers.push_back({peer.string("label"), peer.endpoint("endpoint")});
   const SettingsObject external = file.object("external");
   config.cloud = external.endpoint("cloud");
   config.state = external.endpoint("state");
@@ -85,7 +85,7 @@
     // The platform may add other kinds, which do not affect the order of work.
     if (kind != "wait" && kind != "finished") continue;
     Objective objective;
-    objective.start = kind == "wait";
+    objective.is_start_objective = kind == "wait";
     objective.job_class = entry.string("class");
     objective.within_s = entry.number("within_s", kObjectiveSecondsRange);
     objectives.push_back(std::move(objective));
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -69,7 +69,7 @@
 // read and each write on the socket, are half a second or less.
 class PeerClient {
  public:
-  explicit PeerClient(const Sibling& sibling);
+  explicit PeerClient(const PeerController& peer);
 
   const std::string& label() const { return label_; }
   // Sends this controller's view and returns the peer's, or nullopt without a valid response.
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -64,7 +64,7 @@
   void halt();
   int port() const { return address_.port; }
   // To be called by a handler to have the connection closed after the response.
-  static void close_after_answer();
+  static void close_after_response();
 
  private:
   using Time = std::chrono::steady_clock::time_point;
--- a/src/net/write_share.cpp
+++ b/src/net/write_share.cpp
@@ -25,10 +25,10 @@
 
 }  // namespace
 
-WriteShare::WriteShare(std::string label, std::vector<std::string> siblings, int replicas,
+WriteShare::WriteShare(std::string label, std::vector<std::string> peers, int replicas,
                        double writes_per_s)
     : label_(std::move(label)),
-      siblings_(std::move(siblings)),
+      peers_(std::move(peers)),
       replicas_(replicas),
       writes_per_s_(std::max(1e-3, writes_per_s)) {}
 
@@ -38,18 +38,17 @@
   own_demand_ = std::max({writes / period, kDemandDecay * own_demand_, backlog});
 }
 
-void WriteShare::record_sibling(const std::string& label, double demand, double now) {
+void WriteShare::record_peer(const std::string& label, double demand, double now) {
   // Unknown labels are not stored, since they could use an unbounded amount of memory.
-  if (std::find(siblings_.begin(), siblings_.end(), label) == siblings_.end()) return;
-  sibling_demands_[label] = {std::clamp(demand, 0.0, kMaxDemand), now};
+  if (std::find(peers_.begin(), peers_.end(), label) == peers_.end()) return;
+  peer_demands_[label] = {std::clamp(demand, 0.0, kMaxDemand), now};
 }
 
-int WriteShare::reachable_siblings(double now) const {
-  return static_cast<int>(
-      std::count_if(siblings_.begin(), siblings_.end(), [&](const std::string& s) {
-        auto it = sibling_demands_.find(s);
-        return it != sibling_demands_.end() && now - it->second.reported_at < kReachableTimeoutS;
-      }));
+int WriteShare::reachable_peers(double now) const {
+  return static_cast<int>(std::count_if(peers_.begin(), peers_.end(), [&](const std::string& s) {
+    auto it = peer_demands_.find(s);
+    return it != peer_demands_.end() && now - it->second.reported_at < kReachableTimeoutS;
+  }));
 }
 
 double WriteShare::share(const std::string& leader, double now) const {
@@ -62,7 +61,7 @@
       followers += follower_share(demand);
   };
   add(label_, own_demand_);
-  for (const std::string& sibling : siblings_) add(sibling, sibling_demand(sibling, now));
+  for (const std::string& peer : peers_) add(peer, peer_demand(peer, now));
   const double max_followers =
       leader_demand > kBusyLeaderDemand ? kMaxFollowersShareWithBusyLeader : kMaxFollowersShare;
   const double scale = followers > max_followers ? max_followers / followers : 1;
@@ -74,9 +73,9 @@
   return kDemandHeadroom * demand / writes_per_s_ + kMinFollowersShare / (replicas_ - 1);
 }
 
-double WriteShare::sibling_demand(const std::string& label, double now) const {
-  auto it = sibling_demands_.find(label);
-  return it != sibling_demands_.end() && now - it->second.reported_at < kDemandValidS
+double WriteShare::peer_demand(const std::string& label, double now) const {
+  auto it = peer_demands_.find(label);
+  return it != peer_demands_.end() && now - it->second.reported_at < kDemandValidS
              ? it->second.writes_per_s
              : 0;
 }
--- a/src/net/write_share.h
+++ b/src/net/write_share.h
@@ -16,8 +16,7 @@
  public:
   // `replicas` is the number of controllers including this one; `writes_per_s` is the limit of the
   // whole deployment.
-  WriteShare(std::string label, std::vector<std::string> siblings, int replicas,
-             double writes_per_s);
+  WriteShare(std::string label, std::vector<std::string> peers, int replicas, double writes_per_s);
 
   // Records that this controller requested `writes` changes since the previous call. `backlog` is
   // the number of changes that a leader has yet to make; 0 for followers.
@@ -27,9 +26,9 @@
   double own_demand() const { return own_demand_; }
   // Records the demand that a peer controller reported, in changes per second. Ignores unknown
   // labels.
-  void record_sibling(const std::string& label, double demand, double now);
+  void record_peer(const std::string& label, double demand, double now);
   // The number of peer controllers that reported recently and are therefore taken to be reachable.
-  int reachable_siblings(double now) const;
+  int reachable_peers(double now) const;
 
   // Sets the limit of the whole deployment.
   void set_limit(double writes_per_s) { writes_per_s_ = writes_per_s; }
@@ -48,13 +47,13 @@
   // A follower's share for the given demand, before scaling to the followers' maximum share.
   double follower_share(double demand) const;
   // A peer controller's last reported demand; 0 if the report is older than kDemandValidS.
-  double sibling_demand(const std::string& label, double now) const;
+  double peer_demand(const std::string& label, double now) const;
 
   const std::string label_;
-  const std::vector<std::string> siblings_;
+  const std::vector<std::string> peers_;
   const int replicas_;
   double writes_per_s_;
-  std::map<std::string, Demand> sibling_demands_;
+  std::map<std::string, Demand> peer_demands_;
   double own_demand_ = 0;
   double own_recorded_at_ = 0;
 };
--- a/src/scheduler/task_lifecycle.cpp
+++ b/src/scheduler/task_lifecycle.cpp
@@ -21,14 +21,14 @@
 
 WriteUrgency start_urgency(const Job& job) {
   if (job.is_service()) return WriteUrgency::replica;
-  return job.has_start_promise ? WriteUrgency::start_objective : WriteUrgency::start;
+  return job.needs_prompt_start ? WriteUrgency::prompt_start : WriteUrgency::start;
 }
 
 }  // namespace
 
 bool TaskLifecycle::set_state(Job& job, Attempt& attempt, AttemptState to) {
   if (attempt.state == to) return true;
-  if (!allowed(attempt.state, to)) {
+  if (!is_transition_allowed(attempt.state, to)) {
     spdlog::error("task {}/{} attempt {}: invalid state transition from {} to {}", job.spec.id,
                   attempt.task, attempt.number, to_string(attempt.state), to_string(to));
     return false;
@@ -65,11 +65,11 @@
   attempt.number = number;
   attempt.machine = machine.index;
   attempt.epoch = machine.epoch;
-  attempt.since = now;
-  attempt.shielded = preemption_exempt;
+  attempt.proposed_at = now;
+  attempt.preemption_exempt = preemption_exempt;
   allocate_resources(job, attempt);
   job.waiting.erase(task);
-  ++job.proposed;
+  ++job.proposed_count;
   job.highest_attempt = std::max(job.highest_attempt, number);
   pages_.mark_changed(job, task, start_urgency(job), now);
   spdlog::debug("task {}/{} attempt {}: proposed on machine {}", job.spec.id, task, number,
@@ -87,7 +87,7 @@
   attempt.machine = machine.index;
   attempt.epoch = live.epoch;
   attempt.state = AttemptState::placed;
-  attempt.since = now;
+  attempt.proposed_at = now;
   allocate_resources(job, attempt);
 }
 
@@ -98,14 +98,14 @@
 }
 
 void TaskLifecycle::withdraw_proposals(Job& job, bool all) {
-  if (job.proposed == 0) return;
+  if (job.proposed_count == 0) return;
   const auto is_invalid = [this](const Attempt& attempt) {
     return attempt.state == AttemptState::proposed && !is_proposal_valid(attempt);
   };
   const bool any = all || std::any_of(job.attempts.begin(), job.attempts.end(),
                                       [&](const auto& entry) { return is_invalid(entry.second); });
   if (!any) return;
-  all = all || (job.is_gang() && job.proposed == job.attempts.size());
+  all = all || (job.is_gang() && job.proposed_count == job.attempts.size());
   for (auto it = job.attempts.begin(); it != job.attempts.end();) {
     const uint32_t task = it->first;
     const Attempt& attempt = it->second;
@@ -118,10 +118,10 @@
 
 void TaskLifecycle::mark_placed(Job& job, Attempt& attempt, double now) {
   if (!set_state(job, attempt, AttemptState::placed)) return;
-  --job.proposed;
+  --job.proposed_count;
   commands_.add(attempt.machine);
   // Once the starts of all tasks of a gang are durable, all of them may be commanded.
-  if (job.is_gang() && job.proposed == 0)
+  if (job.is_gang() && job.proposed_count == 0)
     for (const auto& [task, other] : job.attempts) commands_.add(other.machine);
   // end() comes last because it may erase the job.
   if (machines_[attempt.machine].state == MachineState::terminated)
@@ -134,11 +134,11 @@
 
 void TaskLifecycle::stop(Job& job, Attempt& attempt, double grace_s) {
   if (attempt.state == AttemptState::ended) return;
-  if (attempt.stop && grace_s >= attempt.grace_s) return;
-  if (!attempt.stop)
+  if (attempt.stop_requested && grace_s >= attempt.grace_s) return;
+  if (!attempt.stop_requested)
     spdlog::debug("task {}/{} attempt {}: stop requested, {} s for a checkpoint", job.spec.id,
                   attempt.task, attempt.number, grace_s);
-  attempt.stop = true;
+  attempt.stop_requested = true;
   attempt.grace_s = grace_s;
   commands_.add(attempt.machine);
 }
@@ -170,7 +170,7 @@
   WriteUrgency urgency = cause != ExitCause::done ? WriteUrgency::restart : WriteUrgency::none;
   if (job.is_service()) {
     urgency = WriteUrgency::replica;
-    job.missing_since = now;
+    job.replica_missing_since = now;
   }
   pages_.mark_changed(job, task, urgency, now);
   apply_exit_cause(job, attempt, now);
@@ -180,7 +180,7 @@
   bool any = false;
   for (const auto& [task, attempt] : job.attempts) {
     if (attempt.state == AttemptState::ended) continue;
-    if (attempt.stop || attempt.state > AttemptState::gang_waiting) return false;
+    if (attempt.stop_requested || attempt.state > AttemptState::gang_waiting) return false;
     any = true;
   }
   return any;
@@ -211,7 +211,7 @@
   ++job.errors;
   const double wait =
       std::min(kMaxBackOffS, kBackOffBaseS * std::exp2(std::min(job.errors, kMaxBackOffDoublings)));
-  job.not_before = std::max(job.not_before, now + wait);
+  job.back_off_until = std::max(job.back_off_until, now + wait);
 }
 
 void TaskLifecycle::apply_exit_cause(Job& job, const Attempt& attempt, double now) {
@@ -228,7 +228,7 @@
   if (attempt.cause == ExitCause::unknown_task ||
       attempt.cause == ExitCause::insufficient_resources ||
       attempt.cause == ExitCause::already_present)
-    job.not_before = std::max(job.not_before, now + kRefusedStartBackOffS);
+    job.back_off_until = std::max(job.back_off_until, now + kRefusedStartBackOffS);
 }
 
 void TaskLifecycle::release(Job& job, uint32_t task) {
@@ -238,7 +238,7 @@
   // The attempt still holds resources if it is a withdrawn proposal, or if it belongs to a gang of
   // which another task has reported success.
   if (attempt.state != AttemptState::ended) deallocate_resources(job, attempt);
-  if (attempt.state == AttemptState::proposed) --job.proposed;
+  if (attempt.state == AttemptState::proposed) --job.proposed_count;
   job.attempts.erase(it);
   if (job.state == JobState::open && !job.done.has(task)) job.waiting.insert(task);
 }
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -29,7 +29,7 @@
   // Like commit(), for a transaction that was sent before with an indeterminate outcome. A conflict
   // may be caused by the earlier copy: if the first row that the transaction writes holds the
   // transaction's id, the earlier copy was executed and the outcome is `applied`.
-  ledger::Result commit_repeated(const ledger::Transaction& transaction, double max_wait_s);
+  ledger::Result commit_resent(const ledger::Transaction& transaction, double max_wait_s);
 
   // Result of reading one key.
   struct Read {
@@ -59,9 +59,9 @@
   // for the rate limits, since a delayed renewal could cost the leader its lease.
   std::optional<uint64_t> grant(double ttl_s);
   enum class Renewal {
-    kept,
-    ended,   // the lease has ended
-    unknown  // indeterminate: the lease may or may not have been renewed
+    renewed,
+    ended,         // the lease has ended
+    indeterminate  // indeterminate: the lease may or may not have been renewed
   };
   Renewal renew(uint64_t lease);
   // Ends a lease before it expires. Does nothing if the state service cannot be reached.
--- a/src/state/rate_limiters.h
+++ b/src/state/rate_limiters.h
@@ -27,7 +27,7 @@
   // To be called when the state service has rejected a write because of its rate (429).
   void on_write_refused();
   // To be called when a peer controller reports that it sees the limit lowered.
-  void on_sibling_refused();
+  void on_peer_refused();
   // Whether this controller's own 429 responses indicate that the limit of changes is lowered.
   bool sees_lowered_write_rate();
   // Applies the limit of changes that is currently assumed, lowered or not, and returns it. To be
@@ -44,7 +44,7 @@
   const double next_write_rps_;
   std::mutex mutex_;  // guards the members below
   net::RateLimit write_limit_;
-  double sibling_refused_at_ = -1e9;  // in seconds of steady_now()
+  double peer_refused_at_ = -1e9;  // in seconds of steady_now()
   double current_write_rps_ = write_rps_;
 };
 
--- a/src/workers/start_permission.h
+++ b/src/workers/start_permission.h
@@ -14,9 +14,9 @@
   // Whether starts are allowed, the attempt is durable, not yet listed by its worker and not to be
   // stopped, its job is not finished and, for a gang, all attempts of the job are durable.
   bool may_start(const Job& job, const Attempt& attempt) const {
-    if (attempt.state != AttemptState::placed || attempt.stop) return false;
+    if (attempt.state != AttemptState::placed || attempt.stop_requested) return false;
     if (job.is_finished() || !starts_allowed_) return false;
-    return !job.is_gang() || job.proposed == 0;
+    return !job.is_gang() || job.proposed_count == 0;
   }
 
  private:
--- a/tests/scheduler/cancellations_test.cpp
+++ b/tests/scheduler/cancellations_test.cpp
@@ -30,7 +30,7 @@
     scheduler.load(
         ledger_with_task_on_m1(ledger::JobStatus::cancelled, kTimeOfDayOffset + cancelled_at),
         kNow);
-    scheduler.release_cancelled_work(checked_at);
+    scheduler.terminate_machines_with_cancelled_tasks(checked_at);
     return scheduler.next_return(checked_at, true);
   };
   const std::vector<std::string> m1 = {"m-1"}, none;
@@ -61,7 +61,7 @@
   scheduler.allow_starts(true);
   const auto commands = scheduler.on_heartbeat(bare_heartbeat(1, 2, 7), 2).commands;
   ASSERT_EQ(commands.size(), 1u);
-  EXPECT_EQ(commands[0].verb, CommandKind::start);
+  EXPECT_EQ(commands[0].kind, CommandKind::start);
 }
 
 // A cancellation is confirmed to a user only if the acting leader is certain to know it.
--- a/tests/scheduler/failover_test.cpp
+++ b/tests/scheduler/failover_test.cpp
@@ -51,7 +51,7 @@
     if (step % 20 == 0) {
       ++heartbeat.seq;
       for (const WorkerCommand& command : scheduler.on_heartbeat(heartbeat, now).commands)
-        if (command.verb == CommandKind::start)
+        if (command.kind == CommandKind::start)
           heartbeat.tasks.push_back({command.job, command.task, command.attempt, TaskPhase::running,
                                      ExitCause::none, false});
     }
@@ -59,7 +59,7 @@
     // One transaction per step is too few for the pending writes.
     const auto p = scheduler.next_transaction(now);
     if (!p) continue;
-    const std::string& key = p->txn.changes.at(0).key;
+    const std::string& key = p->transaction.changes.at(0).key;
     page_writes += key.rfind(ledger::kPagePrefix, 0) == 0;
     list_writes += key.rfind(ledger::kRentedListPrefix, 0) == 0;
     scheduler.on_result(p->id, {ledger::Outcome::applied, ++revision, {}}, now);
--- a/tests/scheduler/fleet_test.cpp
+++ b/tests/scheduler/fleet_test.cpp
@@ -28,7 +28,7 @@
     }
     const auto names = scheduler.next_return(now);
     returned.insert(names.begin(), names.end());
-    if (!names.empty()) scheduler.on_return(names, CloudOutcome::done, now);
+    if (!names.empty()) scheduler.on_return_result(names, CloudOutcome::done, now);
     // All other machines boot after the boot time that the cloud publishes.
     if (now == 60) initially_rented = rented;
     if (now == 60 || now == 180)
--- a/tests/scheduler/lowered_limits_test.cpp
+++ b/tests/scheduler/lowered_limits_test.cpp
@@ -42,14 +42,14 @@
     next.value_bytes = 2048;
     next.txn_ops = 4;
     settings.next_limits = next;
-    ledger::Page page;
+    ledger::PageRow page;
     add_job(kSmallJob, kSmallJobTasks, page);
     add_job(kLargeJob, kLargeJobTasks, page);
     rows[ledger::page_key(0)] = {ledger::encode(page), 4};
     scheduler = leader();
   }
 
-  void add_job(const std::string& id, uint32_t tasks, ledger::Page& page) {
+  void add_job(const std::string& id, uint32_t tasks, ledger::PageRow& page) {
     ledger::JobRow row;
     row.tasks = tasks;
     row.chunk_size = kTasksPerChunk;
@@ -118,7 +118,7 @@
   // The next write of a page. Other writes before it are applied.
   std::optional<PendingTransaction> next_page_write(double now) {
     while (auto p = scheduler->next_transaction(now)) {
-      if (p->txn.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
+      if (p->transaction.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
       scheduler->on_result(p->id, {Outcome::applied, ++revision, {}}, now);
     }
     return std::nullopt;
@@ -126,9 +126,9 @@
 
   // Responds as the state service does after its limits were lowered.
   void respond(const PendingTransaction& p, double now) {
-    ASSERT_LE(p.txn.changes.size(), settings.next_limits->txn_ops);
+    ASSERT_LE(p.transaction.changes.size(), settings.next_limits->txn_ops);
     bool large = false;
-    for (const auto& c : p.txn.changes)
+    for (const auto& c : p.transaction.changes)
       large = large || ledger::value_size(c.value) > settings.next_limits->value_bytes;
     if (large) {
       ++rejected;
@@ -136,7 +136,7 @@
       return;
     }
     ++revision;
-    for (const auto& c : p.txn.changes) {
+    for (const auto& c : p.transaction.changes) {
       written.push_back(c.key);
       rows[c.key] = {c.value, revision};
       if (c.key.rfind(ledger::kPagePrefix, 0) != 0) continue;
@@ -192,22 +192,22 @@
     while (auto p = scheduler->next_transaction(now)) in_flight.push_back(*p);
   ASSERT_GE(in_flight.size(), 3u);
   for (const auto& p : in_flight) {
-    EXPECT_NE(p.txn.changes.at(0).key, ledger::page_key(0));
+    EXPECT_NE(p.transaction.changes.at(0).key, ledger::page_key(0));
     if (&p != &in_flight.back()) respond(p, 5);
   }
   EXPECT_FALSE(next_page_write(6)) << "one of the new pages is still being written";
   respond(in_flight.back(), 6);
   const auto p = next_page_write(7);
   ASSERT_TRUE(p);
-  EXPECT_EQ(p->txn.changes.at(0).key, ledger::page_key(0));
+  EXPECT_EQ(p->transaction.changes.at(0).key, ledger::page_key(0));
 }
 
 TEST_F(LoweredLimits, NoChunkIsMovedBeforeTheLimitsAreLowered) {
   end_task({kLargeJob, 3}, ExitCause::error, 1);
   const auto p = next_page_write(10);
   ASSERT_TRUE(p);
-  EXPECT_EQ(p->txn.changes.at(0).key, ledger::page_key(0));
-  EXPECT_GT(ledger::value_size(p->txn.changes.at(0).value), 2048u);
+  EXPECT_EQ(p->transaction.changes.at(0).key, ledger::page_key(0));
+  EXPECT_GT(ledger::value_size(p->transaction.changes.at(0).value), 2048u);
   scheduler->on_result(p->id, {Outcome::applied, 101, {}}, 10);
   EXPECT_FALSE(scheduler->uses_lowered_limits());
 }
@@ -218,11 +218,11 @@
   end_task({kLargeJob, 3}, ExitCause::error, 1);
   const auto first = next_page_write(10);
   ASSERT_TRUE(first);
-  scheduler->on_result(first->id, {Outcome::unknown, 0, {}}, 10);
+  scheduler->on_result(first->id, {Outcome::indeterminate, 0, {}}, 10);
   const auto resent = next_page_write(11);
   ASSERT_TRUE(resent);
   EXPECT_EQ(resent->id, first->id);
-  EXPECT_TRUE(resent->repeat);
+  EXPECT_TRUE(resent->resend);
   scheduler->on_result(resent->id, {Outcome::rejected, 0, {}}, 11);
   EXPECT_TRUE(scheduler->has_lost_leadership());
   EXPECT_TRUE(scheduler->uses_lowered_limits()) << "its peer controllers must learn of it";
@@ -241,7 +241,7 @@
 }
 
 TEST_F(LoweredLimits, NewJobsUseTheLoweredLimitsFromTheStart) {
-  const uint32_t tasks_per_chunk = ledger::tasks_per_chunk(settings.lasting_value_bytes());
+  const uint32_t tasks_per_chunk = ledger::tasks_per_chunk(settings.min_value_bytes());
   EXPECT_LT(tasks_per_chunk, kTasksPerChunk);
   CachedJob job = bare_job(200, {0.05, 0.01, 0.1}, 50);
   job.row.chunk_size = tasks_per_chunk;
@@ -250,7 +250,7 @@
   for (int round = 0; round < 5; ++round) {
     scheduler->round(1);
     while (auto p = scheduler->next_transaction(1)) {
-      const auto& change = p->txn.changes.at(0);
+      const auto& change = p->transaction.changes.at(0);
       const bool is_page = change.key.rfind(ledger::kPagePrefix, 0) == 0;
       EXPECT_TRUE(!is_page || change.key == ledger::page_key(0) ||
                   ledger::value_size(change.value) <= 2048);
@@ -265,7 +265,7 @@
 // (seen in the replay of a rollout, docs/rounds.md, round 31).
 TEST_F(LoweredLimits, APageWithoutCapacityForNewStartsIsSplit) {
   rows.clear();
-  ledger::Page page;
+  ledger::PageRow page;
   add_job(kLargeJob, kTasksPerChunk, page);
   constexpr uint32_t kRunning = 85;
   page.entries.at(0).chunk.live.resize(kRunning);
--- a/tests/scheduler/scheduler_guards_fixture.h
+++ b/tests/scheduler/scheduler_guards_fixture.h
@@ -43,7 +43,7 @@
   // The next write of a page. Other writes before it are applied.
   std::optional<PendingTransaction> next_page_write(double now) {
     while (auto p = scheduler.next_transaction(now)) {
-      if (p->txn.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
+      if (p->transaction.changes.at(0).key.rfind(ledger::kPagePrefix, 0) == 0) return p;
       apply(*p, now);
     }
     return std::nullopt;
@@ -59,7 +59,7 @@
   // The live attempts in the page that `p` writes.
   static std::vector<ledger::LiveAttempt> live_attempts(const PendingTransaction& p) {
     std::vector<ledger::LiveAttempt> attempts;
-    const auto page = ledger::decode_page(p.txn.changes.at(0).value);
+    const auto page = ledger::decode_page(p.transaction.changes.at(0).value);
     EXPECT_TRUE(page);
     if (page)
       for (const auto& entry : page->entries)
@@ -69,7 +69,7 @@
   static size_t count_starts(const std::vector<WorkerCommand>& commands) {
     return static_cast<size_t>(std::count_if(
         commands.begin(), commands.end(),
-        [](const WorkerCommand& command) { return command.verb == CommandKind::start; }));
+        [](const WorkerCommand& command) { return command.kind == CommandKind::start; }));
   }
   size_t direct_starts(double now) {
     const auto call = scheduler.next_direct_command(now);
--- a/tests/scheduler/services_test.cpp
+++ b/tests/scheduler/services_test.cpp
@@ -190,7 +190,7 @@
   const HeartbeatReply reply = send_heartbeat(machine, 21, {}, 12);
   EXPECT_TRUE(
       std::any_of(reply.commands.begin(), reply.commands.end(), [](const WorkerCommand& command) {
-        return command.verb == CommandKind::stop && command.job == kService && command.task == 0;
+        return command.kind == CommandKind::stop && command.job == kService && command.task == 0;
       }));
 }
 
@@ -202,11 +202,11 @@
   for (int i = 1; i <= 4; ++i) send_heartbeat(i, 20);
   for (int i = 1; i <= 4; ++i) send_heartbeat(i, 21, {}, 60);
   const auto stopped = std::count_if(service().attempts.begin(), service().attempts.end(),
-                                     [](const auto& a) { return a.second.stop; });
+                                     [](const auto& a) { return a.second.stop_requested; });
   EXPECT_EQ(stopped, 1);
   for (int i = 1; i <= 4; ++i) send_heartbeat(i, 26, {}, 3);
   EXPECT_TRUE(std::all_of(service().attempts.begin(), service().attempts.end(),
-                          [](const auto& a) { return a.second.stop; }));
+                          [](const auto& a) { return a.second.stop_requested; }));
 }
 
 // A missing replica is placed before tasks of equal priority that were submitted long after its
--- a/tests/scheduler/small_deployment_fixture.h
+++ b/tests/scheduler/small_deployment_fixture.h
@@ -105,9 +105,9 @@
   }
   void execute(Worker& worker, const WorkerCommand& command) {
     const auto key = std::make_tuple(command.job, command.task, command.attempt);
-    if (command.verb == CommandKind::forget) {
+    if (command.kind == CommandKind::forget) {
       worker.tasks.erase(key);
-    } else if (command.verb == CommandKind::stop) {
+    } else if (command.kind == CommandKind::stop) {
       auto task = worker.tasks.find(key);
       if (task == worker.tasks.end() || task->second.status.phase == TaskPhase::exited) return;
       task->second.status.phase = TaskPhase::exited;
--- a/tests/scheduler/transactions_test.cpp
+++ b/tests/scheduler/transactions_test.cpp
@@ -36,8 +36,8 @@
     const auto p = next_page_write(now);
     ASSERT_TRUE(p);
     EXPECT_EQ(p->id, first->id);
-    EXPECT_TRUE(p->repeat);
-    EXPECT_EQ(to_json(p->txn), to_json(first->txn));
+    EXPECT_TRUE(p->resend);
+    EXPECT_EQ(to_json(p->transaction), to_json(first->transaction));
   }
   std::optional<PendingTransaction> first;
 };
@@ -47,7 +47,7 @@
 // or the first one could arrive late and find the page changed.
 TEST_F(TransactionRetry, AnIndeterminateTransactionIsResentUnchanged) {
   submit("wk-000002", 1);  // its start belongs to the same page
-  scheduler.on_result(first->id, {Outcome::unknown, 0, {}}, 1);
+  scheduler.on_result(first->id, {Outcome::indeterminate, 0, {}}, 1);
   scheduler.round(1.1);
   EXPECT_EQ(direct_starts(1.1), 0u);
   expect_resend(1.1, 2);
@@ -58,9 +58,9 @@
 
 // That a resent copy was refused does not show whether the earlier copies were executed.
 TEST_F(TransactionRetry, ARefusedCopyIsResentToo) {
-  scheduler.on_result(first->id, {Outcome::unknown, 0, {}}, 1);
+  scheduler.on_result(first->id, {Outcome::indeterminate, 0, {}}, 1);
   expect_resend(1.1, 2);
-  scheduler.on_result(first->id, {Outcome::refused, 0, {}}, 2);
+  scheduler.on_result(first->id, {Outcome::not_executed, 0, {}}, 2);
   EXPECT_EQ(direct_starts(2.1), 0u);
   expect_resend(2.1, 3);
   apply(*first, 3);
@@ -69,11 +69,11 @@
 
 // A transaction whose only copy was refused was certainly not executed, so a new one is built.
 TEST_F(TransactionRetry, ATransactionRefusedAtFirstIsBuiltAnew) {
-  scheduler.on_result(first->id, {Outcome::refused, 0, {}}, 1);
+  scheduler.on_result(first->id, {Outcome::not_executed, 0, {}}, 1);
   const auto p = next_page_write(2);
   ASSERT_TRUE(p);
   EXPECT_NE(p->id, first->id);
-  EXPECT_FALSE(p->repeat);
+  EXPECT_FALSE(p->resend);
 }
 
 // The state service limits the rate of changes, so the order of writes decides which tasks start in
@@ -98,7 +98,7 @@
   std::vector<std::string> written(double now) {
     std::vector<std::string> jobs;
     while (auto p = scheduler.next_transaction(now)) {
-      const auto& change = p->txn.changes.at(0);
+      const auto& change = p->transaction.changes.at(0);
       if (change.key.rfind(ledger::kPagePrefix, 0) == 0)
         jobs.push_back(change.value.at("e").at(0).at(0).get<std::string>());
       scheduler.on_result(p->id, {Outcome::applied, ++revision, {}}, now);
