--- a/tests/scheduler/lowered_limits_test.cpp
+++ b/tests/scheduler/lowered_limits_test.cpp
@@ -280,7 +280,7 @@
   EXPECT_EQ(rejected, 0u);
   const Job& job = *scheduler->find_job(kLargeJob);
   EXPECT_EQ(job.attempts.size(), kTasksPerChunk);
-  EXPECT_EQ(job.proposed, 0u);
+  EXPECT_EQ(job.proposed_count, 0u);
 }
 
 TEST_F(LoweredLimits, AShortenedCancelledJobKeepsWhatQuotasAndZonesNeed) {
